--- a/benchmarks/crashing_requests.py
+++ b/benchmarks/crashing_requests.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from winchfork.core.broken_runs import EndEvidence
+from winchfork.core.broken_runs import CrashEvidence
 from winchfork.core.relay_replica import RelayReplica, ReplicaListing
 from winchfork.core.suspect_runs import SuspectRun
 from winchfork.router.crash_guard import CrashGuard
@@ -188,7 +188,7 @@
         for daemon in {other.daemon for other in broken}:
             guard = self.guards[daemon]
             self._after(
-                SETTLE_S, functools.partial(guard.note_ended, replica, EndEvidence.PORT_CLOSED)
+                SETTLE_S, functools.partial(guard.note_ended, replica, CrashEvidence.PORT_CLOSED)
             )
         self._after(AWAY_S, lambda: self._return(number))
 
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -18,7 +18,7 @@
 from standins.rollout_operator import RolloutOperator
 from standins.store_server import StoreServer
 from standins.weights_operator import WeightsOperator
-from winchfork.core.sliding_budget import RetryAllowance, SlidingRetryBudget
+from winchfork.core.sliding_retry_budget import RetryAllowance, SlidingRetryBudget
 from winchfork.emulator.free_ports import free_port, free_ports
 from winchfork.errors import Failure
 from winchfork.platform.parts import platform_parts
--- a/tests/fuzz_machines.py
+++ b/tests/fuzz_machines.py
@@ -13,7 +13,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from winchfork.backends.engine_port import StreamPiece
-from winchfork.core.admission import AdmissionLimits, AdmissionQueue, Ticket, Verdict
+from winchfork.core.admission import AdmissionLimits, AdmissionQueue, Ticket, AdmissionOutcome
 from winchfork.core.cache_index import CacheEvent, CacheIndex, EventKind
 from winchfork.core.claims import (
     Claim,
@@ -159,7 +159,7 @@
         attempt = data.draw(st.sampled_from(self._live()))
         claim = attempt.claim
         if choice == "again":
-            for voter in claim.unheard_voters():
+            for voter in claim.voters_without_grant():
                 self._send(attempt.daemon, voter, claim.request)
         elif choice == "dispatch" and claim.dispatch():
             attempt.in_flight = True
@@ -167,12 +167,12 @@
             self._tell(attempt, None, RunState.NOT_RUN)
             self._record(attempt, b"refused")
         elif choice == "give_up" and claim.phase is ClaimPhase.GATHERING:
-            if claim.kept_outcome is not None:
-                self._tell(attempt, claim.kept_outcome, None)
+            if claim.recorded_outcome is not None:
+                self._tell(attempt, claim.recorded_outcome, None)
             failure, release = claim.give_up(first_send=attempt.first_send)
             for voter in claim.voters:
                 self._send(attempt.daemon, voter, release)
-            if claim.kept_outcome is None:
+            if claim.recorded_outcome is None:
                 self._tell(attempt, None, failure.ran)
 
     def _tell(self, attempt: _Attempt, outcome: bytes | None, ran: RunState | None) -> None:
@@ -459,7 +459,7 @@
     @invariant()
     def nothing_is_believed_of_a_dead_incarnation(self) -> None:
         for name, engine in self.engines.items():
-            beliefs = self.index._beliefs.get(name)
+            beliefs = self.index._replicas.get(name)
             assert beliefs is None or beliefs.incarnation == engine.identity.incarnation
 
     @invariant()
@@ -605,9 +605,9 @@
             name, tenant, f"c{priority}", priority, may_wait, self.now_s + patience_s, self.now_s
         )
         verdict = self.queue.offer(ticket, self.now_s)
-        if verdict is Verdict.ADMITTED:
+        if verdict is AdmissionOutcome.ADMITTED:
             self.open[name] = may_wait
-        elif verdict is Verdict.QUEUED:
+        elif verdict is AdmissionOutcome.QUEUED:
             self.waiting.add(name)
         else:
             COUNTS["admission refusal"] += 1
@@ -665,7 +665,7 @@
         COUNTS["pool outage"] += outage
         for _ in range(count):
             self.requests += 1
-            self.budget.note_request()
+            self.budget.record_request()
             while outage and self.budget.try_spend():
                 self.retries += 1
 
--- a/tests/large_fleet.py
+++ b/tests/large_fleet.py
@@ -13,7 +13,7 @@
 
 ZONES = ("z1", "z2", "z3")
 DAEMONS = 36
-SETTLED_S = 12.0
+STABILIZATION_S = 12.0
 
 
 class LargeFleet:
@@ -66,7 +66,7 @@
 def in_large_fleet(scenario: Callable[[LargeFleet], Awaitable[None]]) -> None:
     async def main() -> None:
         fleet = LargeFleet()
-        await asyncio.sleep(SETTLED_S)
+        await asyncio.sleep(STABILIZATION_S)
         await scenario(fleet)
 
     run_virtually(main())
--- a/tests/peer_samples.py
+++ b/tests/peer_samples.py
@@ -16,7 +16,7 @@
 from winchfork.core.document_table import TableItem, TableUpdate
 from winchfork.core.member import IndirectProbe, Member, MemberStatus, Probe, ProbeReply
 from winchfork.core.peer_message import PeerMessage
-from winchfork.core.quota_book import QuotaLevel, QuotaLevels, QuotaReport, QuotaTotals
+from winchfork.core.quota_ledger import QuotaLevel, QuotaLevels, QuotaReport, QuotaTotals
 from winchfork.core.software_state import SoftwarePhase, SoftwareState, StopCause
 from winchfork.core.store_position import StorePosition
 from winchfork.router.document_parts import split_update
--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -30,13 +30,13 @@
 MEAN_TOKENS = LARGE_SHARE * LARGE_TOKENS + (1.0 - LARGE_SHARE) * SMALL_TOKENS
 #: Daemons that one tenant's callers are connected to.
 CALLERS = 15
-SETTLED_S = 16.0
+STABILIZATION_S = 16.0
 
 
-class Way(Protocol):
+class QuotaSharing(Protocol):
     """One way of sharing quotas over daemons, numbered from 0."""
 
-    def take(self, daemon: int, tenant: int, cost: float) -> bool:
+    def try_acquire(self, daemon: int, tenant: int, cost: float) -> bool:
         """Whether a daemon lets a request through."""
         ...
 
@@ -44,11 +44,11 @@
         """Put a limit in force on every daemon."""
         ...
 
-    def cut(self, daemons: Sequence[int]) -> None:
+    def isolate(self, daemons: Sequence[int]) -> None:
         """Cut these daemons off from all others, each from each; an empty list heals."""
         ...
 
-    def part(self, daemons: Sequence[int]) -> None:
+    def partition(self, daemons: Sequence[int]) -> None:
         """Cut these daemons off from all others, not from each other; an empty list heals."""
         ...
 
@@ -65,7 +65,7 @@
         ...
 
 
-class NewsWay:
+class DaemonQuotaSharing:
     """The real daemons: each counts by itself and corrects by what the others tell."""
 
     def __init__(
@@ -88,11 +88,11 @@
         self._daemons: list[Daemon | None] = [None] * count
         self.start(range(count))
 
-    def take(self, daemon: int, tenant: int, cost: float) -> bool:
+    def try_acquire(self, daemon: int, tenant: int, cost: float) -> bool:
         serving = self._daemons[daemon]
         assert serving is not None
         state = serving.state
-        refusal = state.quotas.take(f"tenant-{tenant}", cost, state.clock())
+        refusal = state.quotas.try_acquire(f"tenant-{tenant}", cost, state.clock())
         if refusal is None:
             state.on_work_sent()
         return refusal is None
@@ -103,10 +103,10 @@
             if daemon is not None:
                 daemon.state.quotas.install(self._limits, daemon.state.clock())
 
-    def cut(self, daemons: Sequence[int]) -> None:
+    def isolate(self, daemons: Sequence[int]) -> None:
         self._cut = _addresses(daemons)
 
-    def part(self, daemons: Sequence[int]) -> None:
+    def partition(self, daemons: Sequence[int]) -> None:
         self._apart = _addresses(daemons)
 
     def kill(self, daemons: Sequence[int]) -> None:
@@ -132,7 +132,7 @@
 
 
 @dataclasses.dataclass
-class Verdict:
+class ScenarioResult:
     """What a scenario came to. ``excess`` is the most units beyond the bound in any window.
 
     ``lost`` are units that a perfect counter lets through and this way does not, tenant by tenant.
@@ -140,7 +140,7 @@
 
     offered: int = 0
     refused: int = 0
-    owed: float = 0.0
+    expected: float = 0.0
     lost: float = 0.0
     excess: float = float("-inf")
     bytes_a_daemon_s: float = 0.0
@@ -148,7 +148,7 @@
     @property
     def lost_share(self) -> float:
         """Units lost, of all that a perfect counter lets through."""
-        return self.lost / max(1.0, self.owed)
+        return self.lost / max(1.0, self.expected)
 
 
 class _CentralBucket:
@@ -160,7 +160,7 @@
         self._left = limit.burst
         self._at_s = now_s
 
-    def take(self, cost: float, now_s: float) -> bool:
+    def try_acquire(self, cost: float, now_s: float) -> bool:
         flow = self.limit.rate_per_s * (now_s - self._at_s)
         self._left = min(self.limit.burst, self._left + flow)
         self._at_s = now_s
@@ -174,11 +174,11 @@
 class QuotaScenario:
     """Traffic, faults and the judge. ``hot`` multiplies one tenant's usual use from the start."""
 
-    def __init__(self, way: Way, count: int, seed: int, hot: float = 1.0) -> None:
-        self.way = way
+    def __init__(self, sharing: QuotaSharing, count: int, seed: int, hot: float = 1.0) -> None:
+        self.sharing = sharing
         self.count = count
         self.generator = random.Random(seed)
-        self.verdict = Verdict()
+        self.result = ScenarioResult()
         self.down: set[int] = set()
         self._cut_at_s: dict[int, float] = {}
         self._hot = hot
@@ -187,25 +187,25 @@
         now_s = self._loop.time()
         self._central = [_CentralBucket(limit, now_s) for limit in self._limits]
         #: Limits with the time from which each is judged.
-        self._judged = [[(0.0, limit)] for limit in self._limits]
+        self._limit_history = [[(0.0, limit)] for limit in self._limits]
         self._admitted: list[list[tuple[float, float]]] = [[] for _ in self._limits]
         self._callers = [
             [self.generator.randrange(count) for _ in range(CALLERS)] for _ in self._limits
         ]
 
-    async def run(self, seconds: float, faults: Callable[[QuotaScenario], object]) -> Verdict:
+    async def run(self, seconds: float, faults: Callable[[QuotaScenario], object]) -> ScenarioResult:
         """Play traffic for some seconds; ``faults`` schedules what goes wrong."""
         faults(self)
-        before = self.way.sent_bytes()
+        before = self.sharing.sent_bytes()
         until_s = self._loop.time() + seconds
         traffic = [
             asyncio.create_task(self._offer(tenant, until_s)) for tenant in range(len(RATES))
         ]
         await asyncio.gather(*traffic)
-        self._judge()
-        sent = self.way.sent_bytes() - before
-        self.verdict.bytes_a_daemon_s = sent / seconds / self.count
-        return self.verdict
+        self._evaluate()
+        sent = self.sharing.sent_bytes() - before
+        self.result.bytes_a_daemon_s = sent / seconds / self.count
+        return self.result
 
     def at(self, delay_s: float, action: Callable[[], object]) -> None:
         """Do something after a while."""
@@ -215,38 +215,38 @@
         """Draw a share of the daemons."""
         return self.generator.sample(range(self.count), max(1, round(share * self.count)))
 
-    def cut(self, daemons: Sequence[int]) -> None:
+    def isolate(self, daemons: Sequence[int]) -> None:
         """Cut daemons off; they go on serving until their keys expire."""
         self._cut_at_s = dict.fromkeys(daemons, self._loop.time())
-        self.way.cut(daemons)
+        self.sharing.isolate(daemons)
 
-    def part(self, daemons: Sequence[int]) -> None:
+    def partition(self, daemons: Sequence[int]) -> None:
         """Cut daemons off together; they go on serving until their keys expire."""
         self._cut_at_s = dict.fromkeys(daemons, self._loop.time())
-        self.way.part(daemons)
+        self.sharing.partition(daemons)
 
     def kill(self, daemons: Sequence[int]) -> None:
         """End daemons; callers go elsewhere."""
         self.down |= set(daemons)
-        self.way.kill(daemons)
+        self.sharing.kill(daemons)
 
     def start(self, daemons: Sequence[int]) -> None:
         """Start daemons again."""
-        self.way.start(daemons)
+        self.sharing.start(daemons)
         self.down -= set(daemons)
 
     def gather(self, tenant: int) -> None:
         """Move all callers of a tenant to one daemon."""
         self._callers[tenant] = [self.generator.randrange(self.count)]
 
-    def lower(self, tenant: int, share: float) -> None:
+    def lower_limit(self, tenant: int, share: float) -> None:
         """Lower a limit; it is judged from a window later."""
         old = self._limits[tenant]
         new = TenantLimit(old.rate_per_s * share, old.burst * share, old.unit, 200.0)
         self._limits[tenant] = new
         self._central[tenant].limit = new
-        self._judged[tenant].append((self._loop.time() + TOLERANCE.window_s, new))
-        self.way.set_limit(tenant, new)
+        self._limit_history[tenant].append((self._loop.time() + TOLERANCE.window_s, new))
+        self.sharing.set_limit(tenant, new)
 
     async def _offer(self, tenant: int, until_s: float) -> None:
         hot = self._hot if tenant == len(RATES) - 1 or tenant == 0 else 1.0
@@ -262,12 +262,12 @@
             return
         mean = LARGE_TOKENS if self.generator.random() < LARGE_SHARE else SMALL_TOKENS
         cost = float(round(min(57_000.0, mean * self.generator.lognormvariate(-0.25, 0.7))))
-        self.verdict.offered += 1
-        self._central[tenant].take(cost, now_s)
-        if self.way.take(daemon, tenant, cost):
+        self.result.offered += 1
+        self._central[tenant].try_acquire(cost, now_s)
+        if self.sharing.try_acquire(daemon, tenant, cost):
             self._admitted[tenant].append((now_s, cost))
         else:
-            self.verdict.refused += 1
+            self.result.refused += 1
 
     def _serving_daemon(self, tenant: int, now_s: float) -> int | None:
         callers = self._callers[tenant]
@@ -281,11 +281,11 @@
             daemon = (daemon + 1) % self.count
         return None
 
-    def _judge(self) -> None:
+    def _evaluate(self) -> None:
         for tenant, admitted in enumerate(self._admitted):
             owed = self._central[tenant].admitted
-            self.verdict.owed += owed
-            self.verdict.lost += max(0.0, owed - sum(cost for _, cost in admitted))
+            self.result.expected += owed
+            self.result.lost += max(0.0, owed - sum(cost for _, cost in admitted))
             first = 0
             total = 0.0
             for at_s, cost in admitted:
@@ -294,16 +294,16 @@
                     total -= admitted[first][1]
                     first += 1
                 limit = max(
-                    (one for since_s, one in self._judged[tenant] if since_s <= at_s),
+                    (one for since_s, one in self._limit_history[tenant] if since_s <= at_s),
                     key=lambda one: -one.rate_per_s,
                 )
                 bound = limit.rate_per_s * TOLERANCE.window_s + limit.burst
-                self.verdict.excess = max(
-                    self.verdict.excess, total - bound - TOLERANCE.excess(limit)
+                self.result.excess = max(
+                    self.result.excess, total - bound - TOLERANCE.excess(limit)
                 )
 
 
-def play(
+def run_scenario(
     count: int,
     seed: int,
     faults: Callable[[QuotaScenario], object],
@@ -312,14 +312,14 @@
     loss: float = 0.01,
     seconds: float = 14.0,
     delay_s: float = 0.002,
-    make_way: Callable[[int, Sequence[TenantLimit], float, int, float], Way] = NewsWay,
-) -> Verdict:
+    make_sharing: Callable[[int, Sequence[TenantLimit], float, int, float], QuotaSharing] = DaemonQuotaSharing,
+) -> ScenarioResult:
     """Play one scenario in virtual time."""
 
-    async def main() -> Verdict:
+    async def main() -> ScenarioResult:
         limits = [TenantLimit(rate, rate, QuotaUnit.TOKENS, 200.0) for rate in RATES]
-        way = make_way(count, limits, loss, seed, delay_s)
-        await asyncio.sleep(SETTLED_S)
+        way = make_sharing(count, limits, loss, seed, delay_s)
+        await asyncio.sleep(STABILIZATION_S)
         return await QuotaScenario(way, count, seed, hot).run(seconds, faults)
 
     return run_virtually(main())
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from winchfork.core.admission import AdmissionLimits, AdmissionQueue, Ticket, Verdict
+from winchfork.core.admission import AdmissionLimits, AdmissionQueue, Ticket, AdmissionOutcome
 
 
 def _ticket(name: str, *, may_wait: bool, patience_s: float = 100.0) -> Ticket:
@@ -18,11 +18,11 @@
         for number in range(3):
             queue.offer(_ticket(f"batch{number}", may_wait=True), 0.0)
         blocked = queue.offer(_ticket("blocked", may_wait=True, patience_s=1.0), 0.0)
-        self.assertIs(blocked, Verdict.QUEUED)
+        self.assertIs(blocked, AdmissionOutcome.QUEUED)
         behind = queue.offer(_ticket("behind", may_wait=False), 0.0)
-        self.assertIs(behind, Verdict.ADMITTED)
+        self.assertIs(behind, AdmissionOutcome.ADMITTED)
         queue.expire(2.0)
-        self.assertIs(queue.offer(_ticket("last", may_wait=False), 2.0), Verdict.ADMITTED)
+        self.assertIs(queue.offer(_ticket("last", may_wait=False), 2.0), AdmissionOutcome.ADMITTED)
         self.assertEqual((queue.open_count, queue.waiting_count), (5, 0))
 
 
--- a/tests/test_claim_spec.py
+++ b/tests/test_claim_spec.py
@@ -116,7 +116,7 @@
         reply = self.voters[number].on_vote_request(self.claim(attempt).request, _NOW_S)
         assert reply.verdict is Verdict.HELD and reply.outcome is not None, reply
         self.claim(attempt).on_vote_reply(reply)
-        assert self.claim(attempt).kept_outcome == b"answer"
+        assert self.claim(attempt).recorded_outcome == b"answer"
 
     def _release(self, number: int, attempt: int) -> None:
         self.voters[number].on_release(VoteRelease("p0", "key", "AB"[attempt]))
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -14,7 +14,7 @@
     VoterPanel,
     VouchRequest,
     epoch_is_sealed,
-    stamp_of_key,
+    issue_time_of_key,
 )
 from winchfork.emulator.load import new_command_key
 
@@ -104,9 +104,9 @@
             self.assertIs(voter.on_vote_request(request, _START_S + 10.0).verdict, expected)
 
     def test_stamp_is_read_from_uuid7_only(self) -> None:
-        self.assertIsNotNone(stamp_of_key(new_command_key()))
-        self.assertIsNone(stamp_of_key("2f1b0c6e-7a55-4c1e-9d59-1f6a3c1f9f10"))
-        self.assertIsNone(stamp_of_key("stop-turbine-9"))
+        self.assertIsNotNone(issue_time_of_key(new_command_key()))
+        self.assertIsNone(issue_time_of_key("2f1b0c6e-7a55-4c1e-9d59-1f6a3c1f9f10"))
+        self.assertIsNone(issue_time_of_key("stop-turbine-9"))
 
 
 if __name__ == "__main__":
--- a/tests/test_crash_fleet.py
+++ b/tests/test_crash_fleet.py
@@ -10,8 +10,8 @@
 from tests.memory_store import MemoryStore
 from tests.peer_support import Daemon, Network
 from tests.virtual_loop import run_virtually
-from winchfork.core.broken_runs import EndEvidence
-from winchfork.core.crash_ledger import ENDS_TO_REFUSE
+from winchfork.core.broken_runs import CrashEvidence
+from winchfork.core.crash_history import CRASHES_TO_REFUSE
 from winchfork.core.relay_replica import RelayReplica, ReplicaListing
 from winchfork.core.request_digest import request_digest
 from winchfork.router.refusal_records import PLACES, is_refusal_key, place_key
@@ -51,7 +51,7 @@
         listing = ReplicaListing("i", "s", "a:1", "z", 8, True, born_ms=incarnation)
         replica = RelayReplica(listing, {}, listing.incarnation)
         guard.note_broken(replica, digest, silent=False)
-        guard.note_ended(replica, EndEvidence.PORT_CLOSED)
+        guard.note_ended(replica, CrashEvidence.PORT_CLOSED)
 
 
 Scenario = Callable[[MemoryStore, Fleet], Awaitable[None]]
@@ -83,7 +83,7 @@
             with self.subTest(daemons=count):
 
                 async def scenario(store: MemoryStore, fleet: Fleet) -> None:
-                    for number in range(ENDS_TO_REFUSE):
+                    for number in range(CRASHES_TO_REFUSE):
                         fleet.end(number, number + 1, DIGEST)
                         await asyncio.sleep(0.3)
                     self.assertEqual(fleet.refusing(DIGEST), len(fleet.daemons))
@@ -98,7 +98,7 @@
             generator = random.Random(5)
             store.down = True
             fleet.network.drop = lambda sender, receiver: generator.random() < 0.3
-            for number in range(ENDS_TO_REFUSE):
+            for number in range(CRASHES_TO_REFUSE):
                 fleet.end(number, number + 1, DIGEST)
                 await asyncio.sleep(0.3)
             await asyncio.sleep(2.7)
@@ -110,7 +110,7 @@
         async def scenario(store: MemoryStore, fleet: Fleet) -> None:
             alone = fleet.daemons[0]
             fleet.network.drop = lambda sender, receiver: alone.ip in (sender, receiver)
-            for number in range(1, 1 + ENDS_TO_REFUSE):
+            for number in range(1, 1 + CRASHES_TO_REFUSE):
                 fleet.end(1 + number % 2, number, DIGEST)
             await asyncio.sleep(2.5)
             self.assertIsNotNone(alone.state.crashes.refusal(DIGEST))
@@ -119,7 +119,7 @@
 
     def test_it_outlasts_every_daemon(self) -> None:
         async def scenario(store: MemoryStore, fleet: Fleet) -> None:
-            for number in range(ENDS_TO_REFUSE):
+            for number in range(CRASHES_TO_REFUSE):
                 fleet.end(number, number + 1, DIGEST)
             await asyncio.sleep(1.0)
             fleet.kill()
@@ -134,7 +134,7 @@
     def test_what_the_store_could_not_take_is_written_when_it_is_back(self) -> None:
         async def scenario(store: MemoryStore, fleet: Fleet) -> None:
             store.down = True
-            for number in range(ENDS_TO_REFUSE):
+            for number in range(CRASHES_TO_REFUSE):
                 fleet.end(number, number + 1, DIGEST)
             await asyncio.sleep(5.0)
             self.assertEqual(fleet.refusing(DIGEST), len(fleet.daemons))
@@ -149,7 +149,7 @@
             calls = len(store.calls)
             for number in range(60):
                 digest = request_digest("school", b"POST", "a", b"/x", b"%d" % number)
-                for incarnation in range(ENDS_TO_REFUSE):
+                for incarnation in range(CRASHES_TO_REFUSE):
                     fleet.end(incarnation, 10 * number + incarnation + 1, digest)
                 await asyncio.sleep(1.0)
             written = [name for name in store.calls[calls:] if name == "transact"]
@@ -161,7 +161,7 @@
 
     def test_operators_release_a_request_by_removing_its_entry(self) -> None:
         async def scenario(store: MemoryStore, fleet: Fleet) -> None:
-            for number in range(ENDS_TO_REFUSE):
+            for number in range(CRASHES_TO_REFUSE):
                 fleet.end(number, number + 1, DIGEST)
             await asyncio.sleep(2.0)
             store.remove(place_key(DIGEST))
@@ -173,7 +173,7 @@
 
     def test_an_clearance_is_known_everywhere_and_not_undone_by_what_is_repeated(self) -> None:
         async def scenario(store: MemoryStore, fleet: Fleet) -> None:
-            for number in range(ENDS_TO_REFUSE - 1):
+            for number in range(CRASHES_TO_REFUSE - 1):
                 fleet.end(number, number + 1, DIGEST)
             await asyncio.sleep(0.2)
             fleet.daemons[2].state.crashes.note_outlived(DIGEST)
@@ -187,14 +187,14 @@
         """Where weights ended replicas under any request, those refused are not lost for a day."""
 
         async def scenario(store: MemoryStore, fleet: Fleet) -> None:
-            for number in range(ENDS_TO_REFUSE):
+            for number in range(CRASHES_TO_REFUSE):
                 fleet.end(number, number + 1, DIGEST)
             await asyncio.sleep(1.0)
             later_s = fleet.daemons[0].state.clock() + QUARTER_HOUR_S
             self.assertFalse(fleet.daemons[0].state.crashes.ledger.is_refused(DIGEST, later_s))
             fleet.end_refusals(DIGEST)
             self.assertEqual(fleet.refusing(DIGEST), 0)
-            self.assertEqual(fleet.daemons[0].state.crashes.ends(DIGEST), ENDS_TO_REFUSE)
+            self.assertEqual(fleet.daemons[0].state.crashes.ends(DIGEST), CRASHES_TO_REFUSE)
             fleet.end(0, 9, DIGEST)
             await asyncio.sleep(2.0)
             self.assertEqual(fleet.refusing(DIGEST), 3)
@@ -210,7 +210,7 @@
 
     def test_one_that_ends_well_when_it_is_tried_again_is_free_everywhere(self) -> None:
         async def scenario(store: MemoryStore, fleet: Fleet) -> None:
-            for number in range(ENDS_TO_REFUSE):
+            for number in range(CRASHES_TO_REFUSE):
                 fleet.end(number, number + 1, DIGEST)
             await asyncio.sleep(1.0)
             fleet.end_refusals(DIGEST)
@@ -233,7 +233,7 @@
 
         async def scenario(store: MemoryStore, fleet: Fleet) -> None:
             fleet.daemons[1].state.crashes.note_outlived(DIGEST)
-            for number in range(ENDS_TO_REFUSE):
+            for number in range(CRASHES_TO_REFUSE):
                 fleet.end(0, number + 1, DIGEST)
                 await asyncio.sleep(0.3)
                 self.assertEqual(fleet.refusing(DIGEST), 0)
@@ -248,7 +248,7 @@
 
         async def scenario(store: MemoryStore, fleet: Fleet) -> None:
             fleet.daemons[1].state.crashes.note_outlived(DIGEST)
-            for number in range(ENDS_TO_REFUSE):
+            for number in range(CRASHES_TO_REFUSE):
                 fleet.end(0, number + 1, DIGEST)
             await asyncio.sleep(2.5)
             self.assertEqual(fleet.refusing(DIGEST), 0)
@@ -263,7 +263,7 @@
         async def scenario(store: MemoryStore, fleet: Fleet) -> None:
             fleet.daemons[1].state.crashes.note_outlived(DIGEST)
             await asyncio.sleep(5.0)
-            for number in range(ENDS_TO_REFUSE):
+            for number in range(CRASHES_TO_REFUSE):
                 fleet.end(0, number + 1, DIGEST)
                 await asyncio.sleep(0.3)
             self.assertEqual(fleet.refusing(DIGEST), 3)
@@ -307,7 +307,7 @@
                 store.put(f"winchfork/refused/{number:03x}", value)
             await asyncio.sleep(1.0)
             for daemon in fleet.daemons:
-                self.assertEqual(daemon.state.crashes.ledger.refused, 0)
+                self.assertEqual(daemon.state.crashes.ledger.refused_count, 0)
                 self.assertEqual(daemon.state.metrics.documents_refused.value, 3)
                 self.assertLess(daemon.age_s(), 3.0)
 
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -15,8 +15,8 @@
     resetting,
     signed,
 )
-from winchfork.core.broken_runs import SETTLE_S
-from winchfork.core.crash_ledger import ENDS_TO_REFUSE
+from winchfork.core.broken_runs import EVIDENCE_WINDOW_S
+from winchfork.core.crash_history import CRASHES_TO_REFUSE
 from winchfork.core.relay_replica import RelayReplica, ReplicaListing
 from winchfork.core.request_digest import request_digest
 from winchfork.core.routing import RouteKind
@@ -63,11 +63,11 @@
     async def test_lost_answers_of_replicas_that_live_bring_no_suspicion(self) -> None:
         replica = ScriptedReplica(resetting(nothing))
         relay = await self.relay(replica, kind=RouteKind.UNSAFE, max_attempts=1)
-        for number in range(2 * ENDS_TO_REFUSE):
+        for number in range(2 * CRASHES_TO_REFUSE):
             answer = await relay.ask(f"id-{number}", method="GET")
             self.assertEqual(answer.status, 502)
             await asyncio.sleep(0.06)
-        self.assertEqual(len(replica.seen), 2 * ENDS_TO_REFUSE)
+        self.assertEqual(len(replica.seen), 2 * CRASHES_TO_REFUSE)
         self.assertEqual(relay.state.crashes.ends(ASKED), 0)
 
     async def test_one_try_offers_a_request_that_ends_replicas_to_two_of_them(self) -> None:
@@ -101,28 +101,28 @@
             for number in range(2):
                 gone = ReplicaListing(f"i-gone-{number}", "s", "127.0.0.9:9", "z1", 8, False)
                 crashes.note_broken(RelayReplica(gone, {}, gone.incarnation), ASKED, silent=False)
-            with mock.patch.object(crash_guard, "SETTLE_PATIENCE_S", 2 * SETTLE_S):
-                answer = await asyncio.wait_for(relay.ask(), SETTLE_S / 2)
+            with mock.patch.object(crash_guard, "SETTLE_PATIENCE_S", 2 * EVIDENCE_WINDOW_S):
+                answer = await asyncio.wait_for(relay.ask(), EVIDENCE_WINDOW_S / 2)
             self.assertGreaterEqual(answer.status, 500)
 
     async def test_the_fourth_replica_never_sees_it_and_its_caller_is_told_at_once(self) -> None:
         replicas = [EndingReplica() for _ in range(5)]
         relay = await self.relay(*replicas, kind=RouteKind.UNSAFE, max_attempts=1)
-        for number in range(ENDS_TO_REFUSE):
+        for number in range(CRASHES_TO_REFUSE):
             await relay.ask(f"id-{number}")
-            await until(lambda ends=number + 1: relay.state.crashes.ledger.ends(ASKED, 0.0) == ends)  # type: ignore[misc]
+            await until(lambda ends=number + 1: relay.state.crashes.ledger.crash_count(ASKED, 0.0) == ends)  # type: ignore[misc]
         answer = await relay.ask("id-last")
         self.assertEqual(answer.status, 500)
         self.assertIn(b"ends_replicas", answer.body)
         self.assertNotIn("retry-after", answer.headers)
-        self.assertEqual(sum(len(replica.seen) for replica in replicas), ENDS_TO_REFUSE)
+        self.assertEqual(sum(len(replica.seen) for replica in replicas), CRASHES_TO_REFUSE)
 
     async def test_a_run_that_ends_well_clears_it(self) -> None:
         sound = ScriptedReplica(answering(lambda request: signed(request, b"ok")))
         relay = await self.relay(EndingReplica(), sound)
         self.assertEqual((await relay.ask()).status, 200)
         await until(lambda: not relay.state.crashes.ends(ASKED))
-        self.assertEqual(relay.state.crashes.ledger.suspected, 0)
+        self.assertEqual(relay.state.crashes.ledger.suspected_count, 0)
 
     async def test_an_end_is_found_out_also_after_a_lost_answer(self) -> None:
         """The look after the first break found the replica alive; the second break is another."""
@@ -133,7 +133,7 @@
         await asyncio.sleep(0.06)
         self.assertEqual(relay.state.crashes.ends(ASKED), 0)
         await relay.ask("id-2")
-        await until(lambda: relay.state.crashes.ledger.ends(ASKED, 0.0) == 1)
+        await until(lambda: relay.state.crashes.ledger.crash_count(ASKED, 0.0) == 1)
 
     async def test_a_replica_that_leaves_cuts_nobody_into_suspicion(self) -> None:
         replica = EndingReplica()
@@ -143,7 +143,7 @@
         )
         self.assertEqual((await relay.ask()).status, 502)
         await asyncio.sleep(0.1)
-        self.assertEqual(relay.state.crashes.ledger.suspected, 0)
+        self.assertEqual(relay.state.crashes.ledger.suspected_count, 0)
         self.assertEqual(len(replica.seen), 1)
 
     async def test_a_kept_connection_is_no_sign_of_life(self) -> None:
@@ -165,7 +165,7 @@
             *(relay.ask(f"id-{name}", method="POST", body=name.encode()) for name in "ab")
         )
         await relay.ask("id-3")
-        await until(lambda: relay.state.crashes.ledger.ends(ASKED, 0.0) == 1)
+        await until(lambda: relay.state.crashes.ledger.crash_count(ASKED, 0.0) == 1)
 
     async def test_a_suspect_waits_while_it_runs_here(self) -> None:
         replica = ScriptedReplica(answering(lambda request: signed(request, b"ok")))
@@ -173,7 +173,7 @@
         crashes = relay.state.crashes
         crashes.take_ended(1, [ASKED])
         until_s = relay.state.clock() + 60.0
-        crashes.take_run("n2", ASKED, SuspectRun(7, until_s, alone=False))
+        crashes.take_run("n2", ASKED, SuspectRun(7, until_s, is_exclusive=False))
         asked = asyncio.create_task(relay.ask())
         await asyncio.sleep(0.15)
         self.assertEqual(replica.seen, [])
@@ -191,9 +191,9 @@
             crashes.take_ended(1, [digest])
             crashes.take_ended(2, [digest])
         until_s = relay.state.clock() + 60.0
-        crashes.take_run("n2", ASKED, SuspectRun(second.order_hash, until_s, alone=True))
+        crashes.take_run("n2", ASKED, SuspectRun(second.order_hash, until_s, is_exclusive=True))
         crashes.take_run(
-            "n2", b"other suspect   ", SuspectRun(first.order_hash, until_s, alone=True)
+            "n2", b"other suspect   ", SuspectRun(first.order_hash, until_s, is_exclusive=True)
         )
         asked = asyncio.create_task(relay.ask())
         await asyncio.sleep(0.15)
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -5,11 +5,11 @@
 import unittest
 
 from benchmarks.crashing_requests import play
-from winchfork.core.broken_runs import BrokenRuns, EndEvidence
-from winchfork.core.crash_ledger import (
-    ENDS_TO_REFUSE,
-    SUSPICION_S,
-    CrashLedger,
+from winchfork.core.broken_runs import BrokenRuns, CrashEvidence
+from winchfork.core.crash_history import (
+    CRASHES_TO_REFUSE,
+    SUSPICION_TTL_S,
+    CrashHistory,
 )
 from winchfork.core.request_digest import request_digest
 from winchfork.core.suspect_runs import SuspectRun, SuspectRuns
@@ -33,28 +33,28 @@
 
 class LedgerTest(unittest.TestCase):
     def test_reports_of_one_end_are_one_end(self) -> None:
-        ledger = CrashLedger()
-        self.assertTrue(ledger.note_end(b"d", 1, 0.0))
-        self.assertFalse(ledger.note_end(b"d", 1, 0.1))
-        self.assertEqual(ledger.ends(b"d", 0.2), 1)
+        ledger = CrashHistory()
+        self.assertTrue(ledger.record_crash(b"d", 1, 0.0))
+        self.assertFalse(ledger.record_crash(b"d", 1, 0.1))
+        self.assertEqual(ledger.crash_count(b"d", 0.2), 1)
 
     def test_a_run_that_ends_well_clears_it(self) -> None:
-        ledger = CrashLedger()
-        for incarnation in range(ENDS_TO_REFUSE - 1):
-            ledger.note_end(b"d", incarnation, 0.0)
+        ledger = CrashHistory()
+        for incarnation in range(CRASHES_TO_REFUSE - 1):
+            ledger.record_crash(b"d", incarnation, 0.0)
         self.assertTrue(ledger.clear(b"d"))
-        self.assertEqual(ledger.ends(b"d", 0.0), 0)
+        self.assertEqual(ledger.crash_count(b"d", 0.0), 0)
         self.assertFalse(ledger.clear(b"d"))
 
     def test_a_slow_repeater_is_remembered_and_an_old_suspicion_is_not(self) -> None:
-        ledger = CrashLedger()
-        ledger.note_end(b"d", 1, 0.0)
-        ledger.note_end(b"d", 2, SUSPICION_S * 0.9)
-        self.assertEqual(ledger.ends(b"d", SUSPICION_S * 1.8), 2)
-        self.assertEqual(ledger.ends(b"d", SUSPICION_S * 2.0), 0)
+        ledger = CrashHistory()
+        ledger.record_crash(b"d", 1, 0.0)
+        ledger.record_crash(b"d", 2, SUSPICION_TTL_S * 0.9)
+        self.assertEqual(ledger.crash_count(b"d", SUSPICION_TTL_S * 1.8), 2)
+        self.assertEqual(ledger.crash_count(b"d", SUSPICION_TTL_S * 2.0), 0)
 
     def test_a_refusal_ends_with_its_time_and_with_its_release(self) -> None:
-        ledger = CrashLedger()
+        ledger = CrashHistory()
         ledger.refuse(b"d", 1, 10.0)
         ledger.refuse(b"e", 1, 10.0)
         ledger.clear(b"e")
@@ -63,62 +63,62 @@
         self.assertFalse(ledger.is_refused(b"d", 10.0))
 
     def test_suspects_do_not_push_refusals_out_and_both_are_bounded(self) -> None:
-        ledger = CrashLedger(most_suspects=100, most_refused=10)
+        ledger = CrashHistory(max_suspects=100, max_refused=10)
         ledger.refuse(b"d", 1, 1e9)
         for number in range(1000):
-            ledger.note_end(b"%d" % number, 1, float(number) / 1000)
+            ledger.record_crash(b"%d" % number, 1, float(number) / 1000)
         self.assertTrue(ledger.is_refused(b"d", 1.0))
-        self.assertEqual((ledger.suspected, ledger.refused), (100, 1))
+        self.assertEqual((ledger.suspected_count, ledger.refused_count), (100, 1))
         for number in range(1000):
             ledger.refuse(b"%d" % number, 1, 1e9)
-        self.assertEqual(ledger.refused, 10)
+        self.assertEqual(ledger.refused_count, 10)
 
 
 class BrokenRunsTest(unittest.TestCase):
     def test_only_an_end_that_is_shown_counts(self) -> None:
         broken = BrokenRuns()
-        broken.note(1, b"d", 0.0, silent=False)
-        broken.note(1, b"e", 0.0, silent=False)
-        self.assertEqual(broken.unsettled(b"d", 0.1), 1)
-        self.assertEqual(set(broken.settle(1, EndEvidence.PORT_CLOSED, 0.2)), {b"d", b"e"})
-        self.assertEqual(broken.settle(1, EndEvidence.ENTRY_LAPSED, 3.0), ())
+        broken.record(1, b"d", 0.0, silent=False)
+        broken.record(1, b"e", 0.0, silent=False)
+        self.assertEqual(broken.count_unconfirmed(b"d", 0.1), 1)
+        self.assertEqual(set(broken.pop_crashed(1, CrashEvidence.PORT_CLOSED, 0.2)), {b"d", b"e"})
+        self.assertEqual(broken.pop_crashed(1, CrashEvidence.ENTRY_LAPSED, 3.0), ())
 
     def test_a_replica_that_is_reached_after_the_break_is_hardly_suspected(self) -> None:
         """A lost answer, a garbled one, a reset: the replica lives. One that came back does not."""
         broken = BrokenRuns()
-        broken.note(1, b"d", 0.0, silent=False)
-        broken.note_reached(1, 0.03)
-        broken.note(1, b"e", 0.05, silent=False)
-        self.assertEqual((broken.unsettled(b"d", 0.1), broken.unsettled(b"e", 0.1)), (0, 1))
-        self.assertEqual(broken.settle(1, EndEvidence.REPLACED, 2.0), (b"d", b"e"))
+        broken.record(1, b"d", 0.0, silent=False)
+        broken.mark_reached(1, 0.03)
+        broken.record(1, b"e", 0.05, silent=False)
+        self.assertEqual((broken.count_unconfirmed(b"d", 0.1), broken.count_unconfirmed(b"e", 0.1)), (0, 1))
+        self.assertEqual(broken.pop_crashed(1, CrashEvidence.REPLACED, 2.0), (b"d", b"e"))
 
     def test_a_cut_replica_whose_entry_lapses_has_not_ended(self) -> None:
         broken = BrokenRuns()
-        broken.note(1, b"d", 0.0, silent=True)
-        self.assertEqual(broken.unsettled(b"d", 0.1), 0)
-        self.assertEqual(broken.settle(1, EndEvidence.ENTRY_LAPSED, 3.0), ())
-        self.assertEqual(broken.settle(1, EndEvidence.REPLACED, 4.0), (b"d",))
+        broken.record(1, b"d", 0.0, silent=True)
+        self.assertEqual(broken.count_unconfirmed(b"d", 0.1), 0)
+        self.assertEqual(broken.pop_crashed(1, CrashEvidence.ENTRY_LAPSED, 3.0), ())
+        self.assertEqual(broken.pop_crashed(1, CrashEvidence.REPLACED, 4.0), (b"d",))
 
     def test_a_run_that_ends_well_before_it_is_settled_clears_it(self) -> None:
         broken = BrokenRuns()
-        broken.note(1, b"d", 0.0, silent=False)
-        broken.note(1, b"e", 0.0, silent=False)
+        broken.record(1, b"d", 0.0, silent=False)
+        broken.record(1, b"e", 0.0, silent=False)
         broken.clear(b"d")
-        self.assertEqual(broken.settle(1, EndEvidence.PORT_CLOSED, 0.1), (b"e",))
+        self.assertEqual(broken.pop_crashed(1, CrashEvidence.PORT_CLOSED, 0.1), (b"e",))
 
     def test_evidence_that_comes_late_is_of_another_event(self) -> None:
         broken = BrokenRuns()
-        broken.note(1, b"d", 0.0, silent=False)
-        self.assertEqual(broken.settle(1, EndEvidence.ENTRY_LAPSED, 30.0), ())
+        broken.record(1, b"d", 0.0, silent=False)
+        self.assertEqual(broken.pop_crashed(1, CrashEvidence.ENTRY_LAPSED, 30.0), ())
 
 
 class SuspectRunsTest(unittest.TestCase):
     def test_runs_are_over_when_told_or_when_their_time_is_up(self) -> None:
         runs = SuspectRuns()
-        runs.begin("n1", b"d", SuspectRun(7, 5.0, alone=True))
-        runs.begin("n2", b"e", SuspectRun(8, 5.0, alone=False))
+        runs.begin("n1", b"d", SuspectRun(7, 5.0, is_exclusive=True))
+        runs.begin("n2", b"e", SuspectRun(8, 5.0, is_exclusive=False))
         self.assertTrue(runs.is_running(b"d", 1.0))
-        self.assertEqual(runs.taken(1.0), {7})
+        self.assertEqual(runs.exclusive_incarnations(1.0), {7})
         self.assertIsNotNone(runs.end("n1", b"d"))
         self.assertIsNone(runs.end("n1", b"d"))
         self.assertFalse(runs.is_running(b"d", 1.0))
@@ -130,11 +130,11 @@
         """Nobody innocent is refused, and five such bodies a minute cost less than one in 500."""
         for seed in (1, 2):
             fleet = play(seed, bodies_per_minute=5, guarded=True, seconds=60.0)
-            self.assertLessEqual(max(fleet.ended.values()), ENDS_TO_REFUSE)
+            self.assertLessEqual(max(fleet.ended.values()), CRASHES_TO_REFUSE)
             self.assertEqual(fleet.innocent["refused"], 0)
             self.assertLess(fleet.innocent["lost"], fleet.innocent["sent"] / 500)
 
     def test_so_many_bodies_that_replicas_are_hardly_up_get_nobody_else_refused(self) -> None:
         fleet = play(3, bodies_per_minute=50, guarded=True, seconds=30.0)
-        self.assertLessEqual(max(fleet.ended.values()), ENDS_TO_REFUSE)
+        self.assertLessEqual(max(fleet.ended.values()), CRASHES_TO_REFUSE)
         self.assertEqual(fleet.innocent["refused"], 0)
--- a/tests/test_fence_book.py
+++ b/tests/test_fence_book.py
@@ -9,7 +9,7 @@
 from tests.store_drill import DrilledFleet, after_a_drill
 from tests.virtual_loop import run_virtually
 from tests.weights_fleet import FakeReplica, Fleet
-from winchfork.core.fence_book import FenceBook
+from winchfork.core.fence_registry import FenceRegistry
 from winchfork.core.store_position import StorePosition
 from winchfork.router.leader_entry import FENCE_KEY, LEADER_KEY, LeaderEntry
 from winchfork.stores.async_key_value import StoreLease
@@ -17,32 +17,32 @@
 
 class FenceBookTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.book = FenceBook()
-        self.book.note_entry(StorePosition(1, 64))
+        self.book = FenceRegistry()
+        self.book.record_entry(StorePosition(1, 64))
 
     def test_a_revision_is_fence_enough_while_it_rises(self) -> None:
-        self.assertIsNone(self.book.to_record(StorePosition(1, 64)))
+        self.assertIsNone(self.book.fence_to_record(StorePosition(1, 64)))
         self.assertEqual(self.book.fence_of(StorePosition(1, 70)), 70)
 
     def test_a_lower_revision_needs_a_fence_of_its_own(self) -> None:
-        self.assertEqual(self.book.to_record(StorePosition(2, 55)), 65)
+        self.assertEqual(self.book.fence_to_record(StorePosition(2, 55)), 65)
 
     def test_a_recorded_fence_is_that_of_the_entry_written_with_it(self) -> None:
-        self.book.note_record(StorePosition(2, 57), 65)
+        self.book.record_fence(StorePosition(2, 57), 65)
         self.assertEqual(self.book.fence_of(StorePosition(2, 57)), 65)
         self.assertEqual(self.book.fence_of(StorePosition(2, 58)), 65)
         self.assertEqual(self.book.fence_of(StorePosition(3, 58)), 58)
         self.assertEqual(self.book.fence_of(StorePosition(2, 70)), 70)
-        self.assertEqual(self.book.to_record(StorePosition(2, 58)), 66)
+        self.assertEqual(self.book.fence_to_record(StorePosition(2, 58)), 66)
 
     def test_a_fence_that_replicas_refuse_is_exceeded_by_far(self) -> None:
-        self.book.note_refused(64)
-        self.assertGreater(self.book.to_record(StorePosition(1, 70)) or 0, 1_000)
+        self.book.record_refusal(64)
+        self.assertGreater(self.book.fence_to_record(StorePosition(1, 70)) or 0, 1_000)
 
     def test_an_entry_of_before_is_told_from_a_new_one(self) -> None:
-        self.assertTrue(self.book.came_back(StorePosition(2, 64)))
-        self.assertFalse(self.book.came_back(StorePosition(2, 57)))
-        self.assertFalse(self.book.came_back(StorePosition(1, 64)))
+        self.assertTrue(self.book.is_restored(StorePosition(2, 64)))
+        self.assertFalse(self.book.is_restored(StorePosition(2, 57)))
+        self.assertFalse(self.book.is_restored(StorePosition(1, 64)))
 
 
 class LeaderEntryTest(unittest.TestCase):
@@ -50,7 +50,7 @@
         async def scenario() -> object:
             store = MemoryStore()
             entry = LeaderEntry(store, "n1")
-            entry.fences.note_entry(StorePosition(0, 7))
+            entry.fences.record_entry(StorePosition(0, 7))
             store.era = 1
             store.put(LEADER_KEY, b"n2")
             return await entry.find_replaceable()
@@ -61,7 +61,7 @@
         async def scenario() -> tuple[bytes | None, int, int]:
             store = MemoryStore()
             entry = LeaderEntry(store, "n1")
-            entry.fences.note_entry(StorePosition(0, 70))
+            entry.fences.record_entry(StorePosition(0, 70))
             store.era = 1
             lease = await store.grant_lease(2.0)
             assert isinstance(lease, StoreLease)
--- a/tests/test_gossip_queue.py
+++ b/tests/test_gossip_queue.py
@@ -12,7 +12,7 @@
         queue = GossipQueue()
         queue.put("a", 3)
         queue.put("b", 1)
-        taken = [name for _ in range(5) for name in queue.take(6)]
+        taken = [name for _ in range(5) for name in queue.pop(6)]
         self.assertEqual(sorted(taken), ["a", "a", "a", "b"])
         self.assertEqual(len(queue), 0)
 
@@ -20,17 +20,17 @@
         queue = GossipQueue()
         for name in ("a", "b", "c"):
             queue.put(name, 2)
-        self.assertEqual(queue.take(2), ["a", "b"])
-        self.assertEqual(queue.take(2), ["c", "a"])
-        self.assertEqual(queue.take(6), ["b", "c"])
-        self.assertEqual(queue.take(6), [])
+        self.assertEqual(queue.pop(2), ["a", "b"])
+        self.assertEqual(queue.pop(2), ["c", "a"])
+        self.assertEqual(queue.pop(6), ["b", "c"])
+        self.assertEqual(queue.pop(6), [])
 
     def test_a_new_change_of_the_same_member_starts_over(self) -> None:
         queue = GossipQueue()
         queue.put("a", 2)
-        queue.take(1)
+        queue.pop(1)
         queue.put("a", 2)
-        self.assertEqual([queue.take(1), queue.take(1), queue.take(1)], [["a"], ["a"], []])
+        self.assertEqual([queue.pop(1), queue.pop(1), queue.pop(1)], [["a"], ["a"], []])
 
 
 if __name__ == "__main__":
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from winchfork.core.member import Member, MemberStatus, Probe, ProbeReply
-from winchfork.core.membership import CROWDED_CHANGES, PIGGYBACK_CHANGES, Membership
+from winchfork.core.membership import BACKLOG_PIGGYBACK_CHANGES, PIGGYBACK_CHANGES, Membership
 from winchfork.emulator.hollow import HollowRegion
 
 
@@ -65,7 +65,7 @@
         doubt = msgspec.structs.replace(self.other, status=MemberStatus.SUSPECT)
         self.membership.receive(Probe(Member("c", "z", "10.0.0.3:1", "", 7), 1, (), (doubt,)), 0.0)
         # What rides on every message is used up: only what is told on purpose is left.
-        while self.membership._changes():
+        while self.membership._pop_changes():
             pass
 
     def test_a_member_that_is_doubted_is_told_when_it_probes(self) -> None:
@@ -88,12 +88,12 @@
         for number in range(40):
             # Nobody is doubted any more, as when a whole fleet starts.
             if number == 20:
-                self.assertEqual(len(self.membership._changes()), CROWDED_CHANGES)
-                while self.membership._changes():
+                self.assertEqual(len(self.membership._pop_changes()), BACKLOG_PIGGYBACK_CHANGES)
+                while self.membership._pop_changes():
                     pass
             sender = Member(f"m{number}", "z", f"10.0.1.{number}:1", "", 1)
             self.membership.receive(ProbeReply(sender, 3 + number, ()), 2.0)
-        self.assertEqual(len(self.membership._changes()), PIGGYBACK_CHANGES)
+        self.assertEqual(len(self.membership._pop_changes()), PIGGYBACK_CHANGES)
 
 
 class RefutationTest(unittest.TestCase):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -113,7 +113,7 @@
             self.assertEqual(second.state.parts.kept_parts([11, 12], replica.order_hash), 2)
             sent = first.peers.sent_bytes
             first.state.note_kept(replica, [11, 12])
-            self.assertEqual(first.state.kept_news.take(10), [])
+            self.assertEqual(first.state.kept_news.pop(10), [])
             self.assertGreater(sent, 0)
 
         among(2, scenario)
--- a/tests/test_region_fleet.py
+++ b/tests/test_region_fleet.py
@@ -14,7 +14,7 @@
 from tests.virtual_loop import run_virtually
 from winchfork.core.member import Member
 from winchfork.core.region_map import RegionMap
-from winchfork.core.zone_hubs import SPEAKERS_PER_REGION, FleetView
+from winchfork.core.zone_hubs import HUBS_PER_REGION, FleetView
 from winchfork.router.peer_messages import Accusation
 
 REGIONS = RegionMap({"a1": "a", "a2": "a", "a3": "a", "b1": "b", "b2": "b", "b3": "b"})
@@ -56,7 +56,7 @@
         return [daemon for daemon in self.daemons if self.region_of_ip[daemon.ip] == region]
 
     def speakers(self, region: str) -> list[Daemon]:
-        ids = [speaker.member_id for speaker in self.of_region(region)[0].peers.view.speakers]
+        ids = [speaker.member_id for speaker in self.of_region(region)[0].peers.view.region_hubs]
         by_id = {daemon.state.settings.node_id: daemon for daemon in self.daemons}
         return [by_id[member_id] for member_id in ids]
 
@@ -109,22 +109,22 @@
         async def scenario(fleet: TwoRegions) -> None:
             for region, other in (("a", "b"), ("b", "a")):
                 seen = {
-                    tuple(speaker.member_id for speaker in daemon.peers.view.speakers)
+                    tuple(speaker.member_id for speaker in daemon.peers.view.region_hubs)
                     for daemon in fleet.of_region(region)
                 } | {
-                    tuple(speaker.member_id for speaker in daemon.peers.view.far_speakers)
+                    tuple(speaker.member_id for speaker in daemon.peers.view.other_region_hubs)
                     for daemon in fleet.of_region(other)
                 }
                 self.assertEqual(len(seen), 1)
-                self.assertEqual(len(seen.pop()), SPEAKERS_PER_REGION)
+                self.assertEqual(len(seen.pop()), HUBS_PER_REGION)
 
         in_two_regions(scenario)
 
     def test_a_fleet_of_one_region_has_no_far_speakers(self) -> None:
         members = [Member(f"n{number}", f"z{number % 3}", "", "", 1) for number in range(30)]
         view = FleetView.of(members[0], members)
-        self.assertEqual(view.far_speakers, ())
-        self.assertEqual(view.near_hubs, view.far_hubs)
+        self.assertEqual(view.other_region_hubs, ())
+        self.assertEqual(view.same_region_hubs, view.other_zone_hubs)
 
     def test_the_region_at_the_store_watches_it_and_leads(self) -> None:
         async def scenario(fleet: TwoRegions) -> None:
--- a/tests/test_region_placement.py
+++ b/tests/test_region_placement.py
@@ -57,7 +57,7 @@
 
     def test_a_zone_that_the_settings_do_not_name_is_near_everything(self) -> None:
         self.assertIs(REGIONS.distance("a1", "new"), Distance.SAME_REGION)
-        self.assertFalse(REGIONS.is_far("new", "b1"))
+        self.assertFalse(REGIONS.is_cross_region("new", "b1"))
 
 
 class HomesTest(unittest.TestCase):
@@ -69,7 +69,7 @@
             homes: dict[str, set[str]] = {}
             for zone in ZONES:
                 chosen = place(replicas, family=family, zone=zone).replica
-                self.assertFalse(REGIONS.is_far(zone, chosen.listing.zone))
+                self.assertFalse(REGIONS.is_cross_region(zone, chosen.listing.zone))
                 homes.setdefault(REGIONS.region_of(zone), set()).add(chosen.replica_id)
             self.assertEqual({region: len(ids) for region, ids in homes.items()}, {"a": 1, "b": 1})
 
@@ -155,13 +155,13 @@
     def test_the_charge_for_crossing_follows_what_replies_take(self) -> None:
         delay = RegionDelay()
         for _ in range(100):
-            delay.note_reply(0.2)
+            delay.record_reply(0.2)
         self.assertAlmostEqual(delay.round_trip_s, 0.2, places=2)
         self.assertGreater(delay.prompt_crossing_s, 0.5)
 
     def test_one_late_reply_moves_it_little(self) -> None:
         delay = RegionDelay()
-        delay.note_reply(30.0)
+        delay.record_reply(30.0)
         self.assertLess(delay.round_trip_s, 1.5 * PRIOR_ROUND_TRIP_S)
 
 
--- a/tests/test_relay_placement.py
+++ b/tests/test_relay_placement.py
@@ -5,7 +5,7 @@
 import unittest
 from collections import Counter
 
-from winchfork.core.kept_backlog import KeptBacklog
+from winchfork.core.cached_parts_backlog import CachedPartsBacklog
 from winchfork.core.part_index import PartIndex, part_key
 from winchfork.core.placement_request import CacheStoreChoice, PromptPlacement
 from winchfork.core.prompt_cost import spread_cost_s
@@ -86,13 +86,13 @@
 class KeptBacklogTest(unittest.TestCase):
     def test_what_is_too_much_for_one_message_waits_for_the_next(self) -> None:
         """Parts beyond the most that fit were dropped."""
-        backlog = KeptBacklog()
+        backlog = CachedPartsBacklog()
         backlog.add(7, range(5))
         backlog.add(8, (9, 9))
         backlog.discard(7, (0,))
-        self.assertEqual(backlog.take(3), [(7, (1, 2, 3))])
-        self.assertEqual(sorted(backlog.take(3)), [(7, (4,)), (8, (9,))])
-        self.assertEqual(backlog.take(3), [])
+        self.assertEqual(backlog.pop(3), [(7, (1, 2, 3))])
+        self.assertEqual(sorted(backlog.pop(3)), [(7, (4,)), (8, (9,))])
+        self.assertEqual(backlog.pop(3), [])
 
 
 class PromptPlacementTest(unittest.TestCase):
--- a/tests/test_stream_moves.py
+++ b/tests/test_stream_moves.py
@@ -19,7 +19,7 @@
 )
 from winchfork.core.prompt_cost import worth_moving
 from winchfork.core.routing import RouteKind
-from winchfork.core.sliding_budget import RetryAllowance, SlidingRetryBudget
+from winchfork.core.sliding_retry_budget import RetryAllowance, SlidingRetryBudget
 from winchfork.core.weight_rollout import VersionHistory
 from winchfork.router.replica_choice import BEGIN_MARGIN_S
 
@@ -146,7 +146,7 @@
         replicas = [ScriptedReplica(stream), ScriptedReplica(answering(rest))]
         relay, asked = await self.begin(replicas, stream, resumable=True)
         now_s = relay.state.clock()
-        while relay.state.budget.take("s", relay.state.daemons, now_s, 0.5):
+        while relay.state.budget.try_spend("s", relay.state.daemons, now_s, 0.5):
             pass
         self.assertTrue(relay.state.budget.remaining("s", relay.state.daemons, now_s) >= 1.0)
         self.hold(relay, "i-0")
@@ -170,6 +170,6 @@
 class ReserveTest(unittest.TestCase):
     def test_a_reserve_is_a_share_of_the_whole_allowance(self) -> None:
         budget = SlidingRetryBudget(RetryAllowance(0.0, 50.0, 10.0), started_at_s=-20.0)
-        taken = sum(budget.take("app", 1, 1.0, reserve=0.5) for _ in range(50))
+        taken = sum(budget.try_spend("app", 1, 1.0, reserve=0.5) for _ in range(50))
         self.assertEqual(taken, 20)
-        self.assertTrue(budget.take("app", 1, 1.0))
+        self.assertTrue(budget.try_spend("app", 1, 1.0))
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -177,7 +177,7 @@
             limit = TenantLimit(10.0, 20.0, QuotaUnit.REQUESTS, 1.0)
             quotas.install({"school": limit}, relay.state.clock())
             stand_still(seconds)
-            left = quotas.left(relay.state.clock())["school"]
+            left = quotas.remaining(relay.state.clock())["school"]
             self.assertLessEqual(left, 20.0)
 
         asleep(scenario)
@@ -188,7 +188,7 @@
             crashes = relay.state.crashes
             crashes.take_ended(1, [b"d"])
             until_s = relay.state.clock() + 4.0
-            crashes.take_run("n2", b"d", SuspectRun(7, until_s, alone=True))
+            crashes.take_run("n2", b"d", SuspectRun(7, until_s, is_exclusive=True))
             stand_still(seconds)
             self.assertEqual(crashes.may_run(b"d"), seconds >= 4.0)
 
--- a/tests/test_tenant_quota.py
+++ b/tests/test_tenant_quota.py
@@ -6,22 +6,22 @@
 import unittest
 
 from tests.relay_support import KEY
-from winchfork.core.quota_book import (
-    QuotaBook,
+from winchfork.core.quota_ledger import (
+    QuotaLedger,
     QuotaLevel,
     QuotaLevels,
     QuotaReport,
     QuotaTotals,
-    UseReader,
+    UsageReceiver,
     tenant_key,
 )
 from winchfork.core.routing import TenantPolicy
 from winchfork.core.tenant_quota import (
-    ALLOWED_SHARE,
+    BURST_EXCESS_SHARE,
     QuotaRefusal,
     QuotaTolerance,
     QuotaUnit,
-    Supply,
+    RefillShare,
     TenantLimit,
     TenantQuota,
 )
@@ -42,7 +42,7 @@
 def full_bucket(tolerance: QuotaTolerance = STRICT) -> TenantQuota:
     """Return a bucket that has had time to fill."""
     quota = TenantQuota(LIMIT, tolerance, 0.0)
-    quota.settle(Supply(), LONG_S)
+    quota.refill(RefillShare(), LONG_S)
     return quota
 
 
@@ -54,52 +54,52 @@
 class BucketTest(unittest.TestCase):
     def test_a_new_daemon_has_forgotten_what_was_used_and_begins_with_nothing(self) -> None:
         quota = TenantQuota(LIMIT, STRICT, 0.0)
-        self.assertIsInstance(quota.take(500.0, Supply(), 0.0), QuotaRefusal)
-        quota.settle(Supply(), 0.5)
-        self.assertIsNone(quota.take(500.0, Supply(), 0.5))
+        self.assertIsInstance(quota.try_acquire(500.0, RefillShare(), 0.0), QuotaRefusal)
+        quota.refill(RefillShare(), 0.5)
+        self.assertIsNone(quota.try_acquire(500.0, RefillShare(), 0.5))
 
     def test_beyond_the_limit_the_wait_is_the_refill(self) -> None:
         quota = full_bucket()
-        self.assertIsNone(quota.take(1_900.0, Supply(), LONG_S))
-        refusal = quota.take(1_100.0, Supply(), LONG_S)
+        self.assertIsNone(quota.try_acquire(1_900.0, RefillShare(), LONG_S))
+        refusal = quota.try_acquire(1_100.0, RefillShare(), LONG_S)
         assert refusal is not None
         self.assertAlmostEqual(refusal.retry_after_s, 1.0)
-        quota.settle(Supply(), LONG_S + refusal.retry_after_s)
-        self.assertIsNone(quota.take(1_100.0, Supply(), LONG_S + refusal.retry_after_s))
+        quota.refill(RefillShare(), LONG_S + refusal.retry_after_s)
+        self.assertIsNone(quota.try_acquire(1_100.0, RefillShare(), LONG_S + refusal.retry_after_s))
 
     def test_a_request_larger_than_the_burst_is_served_and_owed(self) -> None:
         quota = full_bucket()
-        self.assertIsNone(quota.take(5_000.0, Supply(), LONG_S))
-        self.assertEqual(quota.left(Supply()), -3_000.0)
+        self.assertIsNone(quota.try_acquire(5_000.0, RefillShare(), LONG_S))
+        self.assertEqual(quota.remaining(RefillShare()), -3_000.0)
 
     def test_a_part_of_the_tolerance_deepens_the_bucket(self) -> None:
         tolerance = QuotaTolerance(window_s=8.0, overage=0.1, slack=1_000.0)
-        deeper = ALLOWED_SHARE * (0.1 * (8.0 * 1_000.0 + 2_000.0) + 1_000.0)
-        self.assertAlmostEqual(full_bucket(tolerance).left(Supply()), 2_000.0 + deeper)
+        deeper = BURST_EXCESS_SHARE * (0.1 * (8.0 * 1_000.0 + 2_000.0) + 1_000.0)
+        self.assertAlmostEqual(full_bucket(tolerance).remaining(RefillShare()), 2_000.0 + deeper)
 
     def test_a_lower_limit_keeps_what_was_used(self) -> None:
         quota = full_bucket()
-        quota.take(1_500.0, Supply(), LONG_S)
-        quota.change(TenantLimit(100.0, 1_000.0, QuotaUnit.TOKENS, 200.0))
-        self.assertEqual(quota.left(Supply()), -500.0)
+        quota.try_acquire(1_500.0, RefillShare(), LONG_S)
+        quota.set_limit(TenantLimit(100.0, 1_000.0, QuotaUnit.TOKENS, 200.0))
+        self.assertEqual(quota.remaining(RefillShare()), -500.0)
 
     def test_one_that_is_alone_uses_its_own_part_and_remembers_the_level(self) -> None:
         quota = full_bucket()
-        alone = Supply(0.0, 0.05, is_alone=True)
-        quota.settle(alone, LONG_S + 1.0)
-        self.assertIsNone(quota.take(50.0, alone, LONG_S + 1.0))
-        self.assertIsInstance(quota.take(1_000.0, alone, LONG_S + 1.0), QuotaRefusal)
-        self.assertEqual(quota.left(Supply()), 1_950.0)
+        alone = RefillShare(0.0, 0.05, is_isolated=True)
+        quota.refill(alone, LONG_S + 1.0)
+        self.assertIsNone(quota.try_acquire(50.0, alone, LONG_S + 1.0))
+        self.assertIsInstance(quota.try_acquire(1_000.0, alone, LONG_S + 1.0), QuotaRefusal)
+        self.assertEqual(quota.remaining(RefillShare()), 1_950.0)
 
     def test_what_is_left_of_a_low_bucket_is_not_used_on_an_old_word(self) -> None:
         quota = full_bucket()
-        quota.take(1_500.0, Supply(), LONG_S)
-        self.assertIsInstance(quota.take(400.0, Supply(0.0, 0.01), LONG_S), QuotaRefusal)
+        quota.try_acquire(1_500.0, RefillShare(), LONG_S)
+        self.assertIsInstance(quota.try_acquire(400.0, RefillShare(0.0, 0.01), LONG_S), QuotaRefusal)
 
     def test_a_hubs_word_replaces_all_but_the_latest_own_use(self) -> None:
         quota = full_bucket()
-        quota.take(300.0, Supply(), LONG_S)
-        quota.take(200.0, Supply(), LONG_S + 1.0)
+        quota.try_acquire(300.0, RefillShare(), LONG_S)
+        quota.try_acquire(200.0, RefillShare(), LONG_S + 1.0)
         quota.replace(700.0, LONG_S + 1.1)
         self.assertEqual(quota.used, 900.0)
 
@@ -109,36 +109,36 @@
         totals = [0, 100, 250, 400, 900]
         for seed in range(20):
             generator = random.Random(seed)
-            reader = UseReader()
-            reader.read("n1", report(1, 0))
+            reader = UsageReceiver()
+            reader.receive("n1", report(1, 0))
             order = [used for used in totals if generator.random() < 0.7] * 2
             generator.shuffle(order)
-            counted = sum(reader.read("n1", report(1, used)).get(7, 0.0) for used in order)
-            self.assertEqual(counted + sum(reader.read("n1", report(1, 900)).values()), 900)
+            counted = sum(reader.receive("n1", report(1, used)).get(7, 0.0) for used in order)
+            self.assertEqual(counted + sum(reader.receive("n1", report(1, 900)).values()), 900)
 
     def test_what_is_given_back_counts_against_what_was_used(self) -> None:
-        reader = UseReader()
-        reader.read("n1", report(1, 0))
-        self.assertEqual(reader.read("n1", report(1, 500)), {7: 500})
-        self.assertEqual(reader.read("n1", report(1, 600, 200)), {7: -100})
+        reader = UsageReceiver()
+        reader.receive("n1", report(1, 0))
+        self.assertEqual(reader.receive("n1", report(1, 500)), {7: 500})
+        self.assertEqual(reader.receive("n1", report(1, 600, 200)), {7: -100})
 
     def test_a_restart_begins_at_nothing_and_a_late_message_of_the_life_before_counts_apart(
         self,
     ) -> None:
-        reader = UseReader()
-        reader.read("n1", report(1, 5_000))
-        self.assertEqual(reader.read("n1", report(2, 100)), {7: 100})
-        self.assertEqual(reader.read("n1", report(1, 5_000)), {})
-        self.assertEqual(reader.read("n1", report(1, 5_300)), {7: 300})
-        self.assertEqual(reader.read("n1", report(1, 4_900)), {})
-        self.assertEqual(reader.read("n1", report(2, 150)), {7: 50})
+        reader = UsageReceiver()
+        reader.receive("n1", report(1, 5_000))
+        self.assertEqual(reader.receive("n1", report(2, 100)), {7: 100})
+        self.assertEqual(reader.receive("n1", report(1, 5_000)), {})
+        self.assertEqual(reader.receive("n1", report(1, 5_300)), {7: 300})
+        self.assertEqual(reader.receive("n1", report(1, 4_900)), {})
+        self.assertEqual(reader.receive("n1", report(2, 150)), {7: 50})
 
     def test_daemons_that_start_again_and_again_fill_no_memory(self) -> None:
-        reader = UseReader()
+        reader = UsageReceiver()
         for life in range(1, 20):
-            reader.read("n1", report(life, 10))
-        self.assertEqual(reader.read("n1", report(16, 10)), {})
-        self.assertEqual(reader.read("n1", report(1, 10)), {7: 10})
+            reader.receive("n1", report(life, 10))
+        self.assertEqual(reader.receive("n1", report(16, 10)), {})
+        self.assertEqual(reader.receive("n1", report(1, 10)), {7: 10})
 
     def test_a_late_report_of_a_start_never_heard_does_not_silence_the_one_that_runs(self) -> None:
         """A daemon was first heard after its restart, and a report from before came late.
@@ -146,10 +146,10 @@
         Its running start was then taken for the one before, whose reports bring nothing: of 20, 500
         and 9,000 units told of later none was counted, until the daemon started again.
         """
-        reader = UseReader()
-        reader.read("n1", report(2, 0))
-        reader.read("n1", report(1, 5_000))
-        news = [reader.read("n1", report(2, used)) for used in (20, 500, 9_000)]
+        reader = UsageReceiver()
+        reader.receive("n1", report(2, 0))
+        reader.receive("n1", report(1, 5_000))
+        news = [reader.receive("n1", report(2, used)) for used in (20, 500, 9_000)]
         self.assertEqual(news, [{7: 20}, {7: 480}, {7: 8_500}])
 
     def test_a_report_of_a_start_that_is_long_over_is_not_counted_again(self) -> None:
@@ -157,25 +157,25 @@
 
         Its 5,000 units were counted twice, and the running start no longer at all.
         """
-        reader = UseReader()
+        reader = UsageReceiver()
         for life, used in ((1, 5_000), (2, 100), (3, 10)):
-            reader.read("n1", report(life, used))
-        self.assertEqual(reader.read("n1", report(1, 5_000)), {})
-        self.assertEqual(reader.read("n1", report(3, 60)), {7: 50})
+            reader.receive("n1", report(life, used))
+        self.assertEqual(reader.receive("n1", report(1, 5_000)), {})
+        self.assertEqual(reader.receive("n1", report(3, 60)), {7: 50})
 
     def test_of_a_stranger_only_what_it_used_lately_counts(self) -> None:
-        self.assertEqual(UseReader().read("n1", report(1, 90_000, 0, 300)), {7: 300})
-        news = UseReader().read("n1", report(1, 90_000, 0, 300), stranger_share=0.5)
+        self.assertEqual(UsageReceiver().receive("n1", report(1, 90_000, 0, 300)), {7: 300})
+        news = UsageReceiver().receive("n1", report(1, 90_000, 0, 300), unknown_sender_share=0.5)
         self.assertEqual(news, {7: 150})
 
     def test_totals_are_told_until_everybody_must_have_heard(self) -> None:
-        book = QuotaBook(STRICT, 1)
+        book = QuotaLedger(STRICT, 1)
         book.install({"school": LIMIT}, 0.0)
-        book.take("school", 500.0, 10.0)
-        told = book.own.report(10.5)
+        book.try_acquire("school", 500.0, 10.0)
+        told = book.own_usage.report(10.5)
         assert told is not None
         self.assertEqual(told.totals, (QuotaTotals(tenant_key("school"), 500, 0, 500),))
-        self.assertIsNone(book.own.report(12.0))
+        self.assertIsNone(book.own_usage.report(12.0))
 
 
 class StandstillTest(unittest.TestCase):
@@ -188,32 +188,32 @@
     #: What flows in within half a second: a tick and what it may be late by.
     MOST_BEFORE_NEWS = 5
 
-    def played(self) -> tuple[QuotaBook, QuotaBook, int]:
+    def played(self) -> tuple[QuotaLedger, QuotaLedger, int]:
         """Have one daemon use all that flows in, the other hear of it, and stand still for 3 s.
 
         Return both, and how many requests the second admits before it reads any news.
         """
         limit = TenantLimit(self.RATE_PER_S, self.BURST)
-        running, still = QuotaBook(STRICT, 1), QuotaBook(STRICT, 2)
+        running, still = QuotaLedger(STRICT, 1), QuotaLedger(STRICT, 2)
         unread: list[float] = []
         for book in (running, still):
             book.install({"school": limit}, 0.0)
         for step in range(int(self.UNTIL_S / self.TICK_S) + 1):
             now_s = step * self.TICK_S
-            running.count_on(Supply(), now_s)
+            running.set_refill_share(RefillShare(), now_s)
             stands_still = self.FROM_S < now_s < self.UNTIL_S
             if not stands_still:
-                still.count_on(Supply(), now_s)
-            while now_s > 90.0 and running.take("school", 1.0, now_s) is None:
+                still.set_refill_share(RefillShare(), now_s)
+            while now_s > 90.0 and running.try_acquire("school", 1.0, now_s) is None:
                 if now_s > self.FROM_S:
                     unread.append(1.0)
                 else:
-                    still.add_others({tenant_key("school"): 1.0}, now_s)
+                    still.add_remote_usage({tenant_key("school"): 1.0}, now_s)
         admitted = 0
-        while still.take("school", 1.0, self.UNTIL_S) is None:
+        while still.try_acquire("school", 1.0, self.UNTIL_S) is None:
             admitted += 1
-        still.add_others({tenant_key("school"): sum(unread)}, self.UNTIL_S)
-        running.add_others({tenant_key("school"): float(admitted)}, self.UNTIL_S)
+        still.add_remote_usage({tenant_key("school"): sum(unread)}, self.UNTIL_S)
+        running.add_remote_usage({tenant_key("school"): float(admitted)}, self.UNTIL_S)
         return running, still, admitted
 
     def test_a_bucket_does_not_fill_over_a_standstill_before_the_news_of_it_is_read(self) -> None:
@@ -233,25 +233,25 @@
         """
         running, still, _ = self.played()
         for ticks in range(1, 3):
-            running.count_on(Supply(), self.UNTIL_S + ticks * self.TICK_S)
-            still.count_on(Supply(), self.UNTIL_S + ticks * self.TICK_S)
+            running.set_refill_share(RefillShare(), self.UNTIL_S + ticks * self.TICK_S)
+            still.set_refill_share(RefillShare(), self.UNTIL_S + ticks * self.TICK_S)
         now_s = self.UNTIL_S + 2 * self.TICK_S
-        self.assertAlmostEqual(still.left(now_s)["school"], running.left(now_s)["school"], 6)
+        self.assertAlmostEqual(still.remaining(now_s)["school"], running.remaining(now_s)["school"], 6)
 
     def test_what_a_hub_tells_after_a_standstill_has_the_inflow_of_it(self) -> None:
         _, still, _ = self.played()
         empty = QuotaLevels(100, True, False, (QuotaLevel(tenant_key("school"), 20),))
         still.replace(empty, self.UNTIL_S)
         for ticks in range(1, 3):
-            still.count_on(Supply(), self.UNTIL_S + ticks * self.TICK_S)
+            still.set_refill_share(RefillShare(), self.UNTIL_S + ticks * self.TICK_S)
         now_s = self.UNTIL_S + 2 * self.TICK_S
-        self.assertLessEqual(still.left(now_s)["school"], 2 * self.TICK_S * self.RATE_PER_S)
+        self.assertLessEqual(still.remaining(now_s)["school"], 2 * self.TICK_S * self.RATE_PER_S)
 
 
 class GateTest(unittest.TestCase):
     def setUp(self) -> None:
         self.now_s = 100.0
-        self.book = QuotaBook(STRICT, 1)
+        self.book = QuotaLedger(STRICT, 1)
         self.book.install({"school": LIMIT}, 0.0)
         self.metrics = RouterMetrics()
         self.gate = QuotaGate(self.book, lambda: self.now_s, self.metrics)
@@ -284,7 +284,7 @@
 
     def test_one_that_does_not_say_what_it_uses_counts_as_the_operators_say(self) -> None:
         self.gate.admit(self.tenant, None)
-        self.assertEqual(self.book.left(self.now_s), {"school": 1_800.0})
+        self.assertEqual(self.book.remaining(self.now_s), {"school": 1_800.0})
 
     def test_a_tenant_without_a_limit_is_never_refused(self) -> None:
         free = TenantPolicy("free", (KEY,))
--- a/tests/test_told_pauses.py
+++ b/tests/test_told_pauses.py
@@ -12,7 +12,7 @@
 
 from tests.limit_fleet import LimitedReplica
 from tests.peer_support import Daemon, Network, among
-from winchfork.core.hearsay import MOST_REMEMBERED, Hearsay
+from winchfork.core.peer_reports import MAX_REMEMBERED, PeerReports
 from winchfork.core.replica_notice import DOUBTED_DRAINING_S, AnswerNotice
 
 TOLD_WITHIN_S = 0.5
@@ -81,27 +81,27 @@
 
 class HearsayTest(unittest.TestCase):
     def test_one_peer_counts_for_half_and_two_for_all(self) -> None:
-        hearsay = Hearsay()
-        self.assertTrue(hearsay.counts(1, "n2", set(), 4))
-        self.assertTrue(hearsay.counts(2, "n2", {1}, 4))
-        self.assertFalse(hearsay.counts(3, "n2", {1, 2}, 4))
-        self.assertTrue(hearsay.counts(3, "n3", {1, 2}, 4))
-        self.assertTrue(hearsay.counts(1, "n2", {1, 2, 3}, 4))
+        hearsay = PeerReports()
+        self.assertTrue(hearsay.accept(1, "n2", set(), 4))
+        self.assertTrue(hearsay.accept(2, "n2", {1}, 4))
+        self.assertFalse(hearsay.accept(3, "n2", {1, 2}, 4))
+        self.assertTrue(hearsay.accept(3, "n3", {1, 2}, 4))
+        self.assertTrue(hearsay.accept(1, "n2", {1, 2, 3}, 4))
 
     def test_what_was_heard_itself_does_not_count_against_the_half(self) -> None:
-        hearsay = Hearsay()
-        self.assertTrue(hearsay.counts(3, "n2", {1, 2}, 4))
+        hearsay = PeerReports()
+        self.assertTrue(hearsay.accept(3, "n2", {1, 2}, 4))
         hearsay.forget(3)
-        self.assertTrue(hearsay.counts(4, "n2", {1, 2, 3}, 4))
+        self.assertTrue(hearsay.accept(4, "n2", {1, 2, 3}, 4))
 
     def test_the_only_replica_of_a_service_needs_two(self) -> None:
-        hearsay = Hearsay()
-        self.assertFalse(hearsay.counts(1, "n2", set(), 1))
-        self.assertFalse(hearsay.counts(1, "n2", set(), 1))
-        self.assertTrue(hearsay.counts(1, "n3", set(), 1))
+        hearsay = PeerReports()
+        self.assertFalse(hearsay.accept(1, "n2", set(), 1))
+        self.assertFalse(hearsay.accept(1, "n2", set(), 1))
+        self.assertTrue(hearsay.accept(1, "n3", set(), 1))
 
     def test_its_memory_is_bounded(self) -> None:
-        hearsay = Hearsay()
-        for number in range(MOST_REMEMBERED + 100):
-            hearsay.counts(number, "n2", set(), 1)
-        self.assertEqual(len(hearsay._tellers), MOST_REMEMBERED)
+        hearsay = PeerReports()
+        for number in range(MAX_REMEMBERED + 100):
+            hearsay.accept(number, "n2", set(), 1)
+        self.assertEqual(len(hearsay._reporters), MAX_REMEMBERED)
--- a/tests/test_weights_bounds.py
+++ b/tests/test_weights_bounds.py
@@ -23,7 +23,7 @@
 from tests.virtual_loop import run_virtually
 from winchfork.core.document_table import TableItem, TableUpdate
 from winchfork.core.member import Probe
-from winchfork.core.store_outage import LONGEST_WATCH_S, StoreOutage, StoreOutageWatch
+from winchfork.core.store_outage import MAX_WATCH_S, StoreOutage, StoreOutageDetector
 from winchfork.core.store_position import StorePosition
 from winchfork.router.settings import RouterBounds
 from winchfork.router.store_sync import LATE_ANSWER_S, START_GRACE_S
@@ -165,7 +165,7 @@
                     fleet.store.put("op/other", bytes(number))
                 await asyncio.sleep(0.05)
                 oldest_s = max(oldest_s, *(daemon.age_s() for daemon in fleet.daemons))
-            self.assertLess(oldest_s, LONGEST_WATCH_S - LATE_ANSWER_S)
+            self.assertLess(oldest_s, MAX_WATCH_S - LATE_ANSWER_S)
 
         follow(scenario)
 
@@ -251,93 +251,93 @@
     """One daemon's findings, with a last proof at 100 s."""
 
     def setUp(self) -> None:
-        self.watch = StoreOutageWatch(90.0, has_peers=True)
-        self.watch.note_answer(100.0)
+        self.watch = StoreOutageDetector(90.0, has_peers=True)
+        self.watch.record_answer(100.0)
 
     def fail_twice(self, first_s: float) -> None:
-        self.watch.note_failure(first_s - 1.0, first_s)
-        self.watch.note_failure(first_s + 0.1, first_s + 0.2)
+        self.watch.record_failure(first_s - 1.0, first_s)
+        self.watch.record_failure(first_s + 0.1, first_s + 0.2)
 
     def test_all_three_findings_make_an_outage(self) -> None:
         self.fail_twice(101.0)
-        self.watch.note_peer("n2", 99.5, asked_s=102.6, replied_s=102.6)
-        self.watch.note_answer(104.0)
-        self.assertEqual(self.watch.take_ended(), StoreOutage(100.0, 104.0))
-        self.assertIsNone(self.watch.take_ended())
+        self.watch.record_peer_reply("n2", 99.5, asked_s=102.6, replied_s=102.6)
+        self.watch.record_answer(104.0)
+        self.assertEqual(self.watch.pop_ended(), StoreOutage(100.0, 104.0))
+        self.assertIsNone(self.watch.pop_ended())
 
     def test_a_call_that_spans_a_standstill_is_no_finding(self) -> None:
-        self.watch.note_failure(100.0, 104.0)
-        self.watch.note_peer("n2", 99.5, asked_s=104.0, replied_s=104.0)
-        self.watch.note_answer(104.1)
-        self.assertIsNone(self.watch.take_ended())
+        self.watch.record_failure(100.0, 104.0)
+        self.watch.record_peer_reply("n2", 99.5, asked_s=104.0, replied_s=104.0)
+        self.watch.record_answer(104.1)
+        self.assertIsNone(self.watch.pop_ended())
 
     def test_a_peer_that_reached_the_store_meanwhile_speaks_against_it(self) -> None:
         self.fail_twice(101.0)
-        self.watch.note_peer("n2", 102.0, asked_s=102.6, replied_s=102.6)
-        self.watch.note_answer(104.0)
-        self.assertIsNone(self.watch.take_ended())
+        self.watch.record_peer_reply("n2", 102.0, asked_s=102.6, replied_s=102.6)
+        self.watch.record_answer(104.0)
+        self.assertIsNone(self.watch.pop_ended())
 
     def test_a_peer_that_may_still_be_watching_says_nothing(self) -> None:
         self.fail_twice(101.0)
-        self.watch.note_peer("n2", 99.5, asked_s=102.0, replied_s=102.0)
-        self.watch.note_answer(104.0)
-        self.assertIsNone(self.watch.take_ended())
+        self.watch.record_peer_reply("n2", 99.5, asked_s=102.0, replied_s=102.0)
+        self.watch.record_answer(104.0)
+        self.assertIsNone(self.watch.pop_ended())
 
     def test_most_peers_have_to_agree_and_one_that_replies_late_does_not_count(self) -> None:
         for agreeing, reply_s, is_outage in ((1, 0.0, False), (2, 0.0, True), (2, 0.6, False)):
-            watch = StoreOutageWatch(90.0, has_peers=True)
+            watch = StoreOutageDetector(90.0, has_peers=True)
             watch.peers_needed = 2
-            watch.note_answer(100.0)
-            watch.note_failure(100.0, 101.0)
-            watch.note_failure(101.1, 101.2)
+            watch.record_answer(100.0)
+            watch.record_failure(100.0, 101.0)
+            watch.record_failure(101.1, 101.2)
             for asked_s in (102.6, 103.0):
                 for peer in range(agreeing):
                     replied_s = asked_s + (reply_s if peer else 0.0)
-                    watch.note_peer(f"n{peer}", 99.5, asked_s, replied_s)
-            watch.note_answer(104.0)
-            self.assertIs(watch.take_ended() is not None, is_outage, (agreeing, reply_s))
+                    watch.record_peer_reply(f"n{peer}", 99.5, asked_s, replied_s)
+            watch.record_answer(104.0)
+            self.assertIs(watch.pop_ended() is not None, is_outage, (agreeing, reply_s))
 
     def test_peers_learn_of_the_return_first(self) -> None:
         self.fail_twice(101.0)
-        self.watch.note_peer("n2", 99.5, asked_s=102.6, replied_s=102.6)
-        self.watch.note_peer("n2", 103.5, asked_s=103.6, replied_s=103.6)
-        self.watch.note_answer(104.0)
-        self.assertEqual(self.watch.take_ended(), StoreOutage(100.0, 103.5))
+        self.watch.record_peer_reply("n2", 99.5, asked_s=102.6, replied_s=102.6)
+        self.watch.record_peer_reply("n2", 103.5, asked_s=103.6, replied_s=103.6)
+        self.watch.record_answer(104.0)
+        self.assertEqual(self.watch.pop_ended(), StoreOutage(100.0, 103.5))
 
     def test_a_short_silence_is_no_outage(self) -> None:
         """Of a daemon without peers, that is: a peer is heard on it only after a longer one."""
         for answered_s, is_outage in ((102.4, False), (102.6, True)):
-            alone = StoreOutageWatch(90.0, has_peers=False)
-            alone.note_answer(100.0)
-            alone.note_failure(100.0, 100.5)
-            alone.note_failure(100.6, 100.7)
-            alone.note_answer(answered_s)
-            self.assertIs(alone.take_ended() is not None, is_outage)
+            alone = StoreOutageDetector(90.0, has_peers=False)
+            alone.record_answer(100.0)
+            alone.record_failure(100.0, 100.5)
+            alone.record_failure(100.6, 100.7)
+            alone.record_answer(answered_s)
+            self.assertIs(alone.pop_ended() is not None, is_outage)
 
     def test_a_second_call_that_spans_a_standstill_is_no_finding(self) -> None:
-        self.watch.note_failure(100.0, 101.0)
-        self.watch.note_failure(101.1, 104.0)
-        self.watch.note_peer("n2", 99.5, asked_s=104.0, replied_s=104.0)
-        self.watch.note_answer(104.1)
-        self.assertIsNone(self.watch.take_ended())
+        self.watch.record_failure(100.0, 101.0)
+        self.watch.record_failure(101.1, 104.0)
+        self.watch.record_peer_reply("n2", 99.5, asked_s=104.0, replied_s=104.0)
+        self.watch.record_answer(104.1)
+        self.assertIsNone(self.watch.pop_ended())
 
     def test_a_failure_before_a_peers_proof_is_forgotten(self) -> None:
-        self.watch.note_failure(99.0, 101.0)
-        self.watch.note_peer("n2", 101.5, asked_s=101.6, replied_s=101.6)
+        self.watch.record_failure(99.0, 101.0)
+        self.watch.record_peer_reply("n2", 101.5, asked_s=101.6, replied_s=101.6)
         self.assertFalse(self.watch.is_suspected)
-        self.watch.note_failure(158.0, 160.6)
-        self.watch.note_peer("n2", 101.0, asked_s=161.0, replied_s=161.0)
-        self.watch.note_answer(163.0)
-        self.assertIsNone(self.watch.take_ended())
+        self.watch.record_failure(158.0, 160.6)
+        self.watch.record_peer_reply("n2", 101.0, asked_s=161.0, replied_s=161.0)
+        self.watch.record_answer(163.0)
+        self.assertIsNone(self.watch.pop_ended())
 
     def test_a_daemon_that_starts_in_an_outage_learns_from_peers_since_when(self) -> None:
-        watch = StoreOutageWatch(102.0, has_peers=True)
-        watch.note_peer("n2", 99.5, asked_s=102.1, replied_s=102.1)
-        watch.note_failure(102.0, 102.1)
-        watch.note_failure(102.3, 102.4)
-        watch.note_peer("n2", 99.5, asked_s=102.5, replied_s=102.5)
-        watch.note_answer(103.0)
-        self.assertEqual(watch.take_ended(), StoreOutage(99.5, 103.0))
+        watch = StoreOutageDetector(102.0, has_peers=True)
+        watch.record_peer_reply("n2", 99.5, asked_s=102.1, replied_s=102.1)
+        watch.record_failure(102.0, 102.1)
+        watch.record_failure(102.3, 102.4)
+        watch.record_peer_reply("n2", 99.5, asked_s=102.5, replied_s=102.5)
+        watch.record_answer(103.0)
+        self.assertEqual(watch.pop_ended(), StoreOutage(99.5, 103.0))
 
 
 class NamedDuringTroubleTest(unittest.TestCase):
--- a/tests/test_zone_hubs.py
+++ b/tests/test_zone_hubs.py
@@ -12,11 +12,11 @@
 from tests.peer_support import Daemon, Network
 from tests.test_platform_documents import CONFIGURATION
 from tests.virtual_loop import run_virtually
-from winchfork.core.document_table import MOST_GONE, DocumentTable, TableItem, TableUpdate
+from winchfork.core.document_table import MAX_REMOVED, DocumentTable, TableItem, TableUpdate
 from winchfork.core.member import Member, MemberStatus
 from winchfork.core.rendezvous import member_hash
 from winchfork.core.store_position import StorePosition
-from winchfork.core.zone_hubs import WATCHERS, FleetView
+from winchfork.core.zone_hubs import WATCHERS_PER_FLEET, FleetView
 from winchfork.errors import Failure
 from winchfork.router.document_parts import PART_BYTES, PartCollector, split_update
 from winchfork.router.peer_messages import DocumentPart, WeightsNote
@@ -122,7 +122,7 @@
             oldest_s = await fleet.oldest_proof_s(range(10, 20), fleet.daemons)
             asked = {daemon.ip: daemon.store.reads - before[daemon.ip] for daemon in fleet.daemons}
             watchers = [daemon.ip for daemon in fleet.daemons if daemon.peers.view.is_watcher]
-            self.assertEqual(len(watchers), WATCHERS)
+            self.assertEqual(len(watchers), WATCHERS_PER_FLEET)
             self.assertLessEqual(sum(asked[ip] for ip in watchers), 2 * 40)
             self.assertLessEqual(sum(asked.values()) - sum(asked[ip] for ip in watchers), 6)
             self.assertLess(oldest_s, 1.9)
@@ -143,7 +143,7 @@
     def test_watchers_are_of_different_zones_and_not_in_doubt(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
             view = fleet.daemons[0].peers.view
-            self.assertEqual(len({watcher.zone for watcher in view.watchers}), WATCHERS)
+            self.assertEqual(len({watcher.zone for watcher in view.watchers}), WATCHERS_PER_FLEET)
             first = next(
                 daemon
                 for daemon in fleet.daemons
@@ -411,10 +411,10 @@
 class DocumentTableTest(unittest.TestCase):
     def test_an_older_entry_is_not_taken(self) -> None:
         table = DocumentTable()
-        self.assertTrue(table.note(TableItem("a", 5, b"new")))
-        self.assertFalse(table.note(TableItem("a", 4, b"old")))
-        self.assertTrue(table.note(TableItem("a", 6, None)))
-        self.assertFalse(table.note(TableItem("a", 5, b"new")))
+        self.assertTrue(table.apply(TableItem("a", 5, b"new")))
+        self.assertFalse(table.apply(TableItem("a", 4, b"old")))
+        self.assertTrue(table.apply(TableItem("a", 6, None)))
+        self.assertFalse(table.apply(TableItem("a", 5, b"new")))
         self.assertEqual(
             table.update_after(StorePosition(), StorePosition(0, 6)).items,
             (TableItem("a", 6, None),),
@@ -422,9 +422,9 @@
 
     def test_a_peer_behind_what_is_forgotten_gets_everything(self) -> None:
         table = DocumentTable()
-        table.note(TableItem("kept", 1, b"x"))
-        for number in range(MOST_GONE + 1):
-            table.note(TableItem(f"k{number}", 2 + number, None))
+        table.apply(TableItem("kept", 1, b"x"))
+        for number in range(MAX_REMOVED + 1):
+            table.apply(TableItem(f"k{number}", 2 + number, None))
         update = table.update_after(StorePosition(0, 1), StorePosition(0, 3_000))
         self.assertTrue(update.complete)
         self.assertEqual([item.key for item in update.items], ["kept"])
--- a/tests/test_zone_loss.py
+++ b/tests/test_zone_loss.py
@@ -21,47 +21,47 @@
     stream_head,
 )
 from winchfork.core.routing import RouteKind
-from winchfork.core.zone_reach import FAILED_REPLICAS, SILENCE_S, WORD_HOLDS_S, ZoneReach
+from winchfork.core.zone_reachability import MIN_FAILED_REPLICAS, SILENCE_TIMEOUT_S, HUB_REPORT_TTL_S, ZoneReachability
 
 
 class ZoneReachTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.reach = ZoneReach("z1")
+        self.reach = ZoneReachability("z1")
         for zone in ("z1", "z2", "z3"):
-            self.reach.note_heard(zone, 10.0)
+            self.reach.record_message(zone, 10.0)
 
     def fail(self, zone: str, count: int, now_s: float) -> None:  # type: ignore[override]
         for number in range(count):
-            self.reach.note_failed(zone, number, now_s)
+            self.reach.record_failure(zone, number, now_s)
 
     def test_silence_and_failures_together_make_a_zone_unreachable(self) -> None:
-        late_s = 10.0 + SILENCE_S + 0.1
-        self.fail("z2", FAILED_REPLICAS, late_s)
-        self.assertEqual(self.reach.found_unreachable(late_s), {"z2"})
+        late_s = 10.0 + SILENCE_TIMEOUT_S + 0.1
+        self.fail("z2", MIN_FAILED_REPLICAS, late_s)
+        self.assertEqual(self.reach.detect_unreachable(late_s), {"z2"})
 
     def test_daemons_that_were_killed_leave_their_zones_replicas_in_use(self) -> None:
-        self.assertEqual(self.reach.found_unreachable(60.0), frozenset())
+        self.assertEqual(self.reach.detect_unreachable(60.0), frozenset())
 
     def test_replicas_that_fail_in_a_zone_that_speaks_say_nothing_of_it(self) -> None:
         self.fail("z2", 9, 10.1)
-        self.assertEqual(self.reach.found_unreachable(10.2), frozenset())
+        self.assertEqual(self.reach.detect_unreachable(10.2), frozenset())
 
     def test_one_word_makes_a_zone_reachable_again(self) -> None:
-        self.fail("z2", FAILED_REPLICAS, 12.0)
-        self.assertTrue(self.reach.found_unreachable(12.0))
-        self.reach.note_heard("z2", 12.1)
-        self.assertFalse(self.reach.found_unreachable(14.0))
+        self.fail("z2", MIN_FAILED_REPLICAS, 12.0)
+        self.assertTrue(self.reach.detect_unreachable(12.0))
+        self.reach.record_message("z2", 12.1)
+        self.assertFalse(self.reach.detect_unreachable(14.0))
 
     def test_a_hubs_word_holds_for_a_while_only(self) -> None:
         self.assertEqual(self.reach.adopt(("z2",), 10.0, is_isolated=True), {"z2"})
         self.assertEqual(self.reach.adopt(("z2",), 10.5, is_isolated=True), frozenset())
         self.assertTrue(self.reach.is_isolated(10.6))
-        self.assertEqual(self.reach.unreachable(10.5 + WORD_HOLDS_S), frozenset())
-        self.assertFalse(self.reach.is_isolated(10.5 + WORD_HOLDS_S))
+        self.assertEqual(self.reach.unreachable(10.5 + HUB_REPORT_TTL_S), frozenset())
+        self.assertFalse(self.reach.is_isolated(10.5 + HUB_REPORT_TTL_S))
 
     def test_a_zone_that_knows_no_other_is_not_cut_off(self) -> None:
-        self.assertFalse(ZoneReach("z1").found_isolated(99.0, 1.0))
-        self.assertTrue(self.reach.found_isolated(99.0, 1.0))
+        self.assertFalse(ZoneReachability("z1").detect_isolated(99.0, 1.0))
+        self.assertTrue(self.reach.detect_isolated(99.0, 1.0))
 
 
 def cut_zone(fleet: LargeFleet, zone: str) -> list[Daemon]:
--- a/winchfork/cli/operator_commands.py
+++ b/winchfork/cli/operator_commands.py
@@ -19,7 +19,7 @@
     configuration_message_to_document,
 )
 from winchfork.control.rpc_client import OperatorClient
-from winchfork.core.configuration import changed_fields
+from winchfork.core.configuration import changed_objects
 from winchfork.errors import Failure, FailureKind
 
 _DEFAULT_ADDRESS = "127.0.0.1:8720"
@@ -159,7 +159,7 @@
     current = _client(arguments).get_configuration()
     if isinstance(current, Failure):
         return print_failure(current)
-    changes = changed_fields(
+    changes = changed_objects(
         configuration_message_to_document(current.configuration),
         configuration_message_to_document(wanted),
     )
--- a/winchfork/cluster/claim_client.py
+++ b/winchfork/cluster/claim_client.py
@@ -15,7 +15,7 @@
     OutcomeRecord,
     VoteReply,
     panel_of_key,
-    stamp_of_key,
+    issue_time_of_key,
 )
 from winchfork.errors import Failure, FailureKind, RunState
 
@@ -88,7 +88,7 @@
                 retry_after_s=2.0,
             )
         attempt = f"{own.member_id}.{own.incarnation}.{next(self._counter)}"
-        claim = Claim(panel, request.key, stamp_of_key(request.idempotency_key), attempt)
+        claim = Claim(panel, request.key, issue_time_of_key(request.idempotency_key), attempt)
         changed = threading.Condition()
 
         def hear(reply: VoteReply) -> None:
@@ -104,7 +104,7 @@
         with changed:
             if claim.phase is ClaimPhase.WON:
                 return WonClaim(self, claim)
-            kept = claim.kept_outcome
+            kept = claim.recorded_outcome
             failure = self._release(claim, request.first_send)
         return KeptOutcome(kept) if kept is not None else failure
 
@@ -127,12 +127,12 @@
     def _gather(self, claim: Claim, changed: threading.Condition, timeout_s: float) -> None:
         deadline_s = boot_seconds() + timeout_s
         while True:
-            for voter in claim.unheard_voters():
+            for voter in claim.voters_without_grant():
                 self._node.send_to(voter, claim.request)
             left_s = deadline_s - boot_seconds()
             with changed:
                 settled = changed.wait_for(
-                    lambda: claim.is_settled, min(CLAIM_RESEND_PERIOD_S, max(0.0, left_s))
+                    lambda: claim.is_decided, min(CLAIM_RESEND_PERIOD_S, max(0.0, left_s))
                 )
             if settled or left_s <= 0:
                 return
--- a/winchfork/cluster/event_reader.py
+++ b/winchfork/cluster/event_reader.py
@@ -122,7 +122,7 @@
         state = self._node.state
         with state.lock:
             replica.identity = report.identity
-            replica.note_load(report.load, measured_at_s)
+            replica.update_load(report.load, measured_at_s)
             state.index.fence(replica.replica_id, report.identity.incarnation)
             if report.accepting:
                 if replica.state is ReplicaState.UNAVAILABLE:
@@ -159,7 +159,7 @@
         report = snapshot.report
         position = _StreamPosition(report.identity.incarnation, report.next_sequence)
         for key, parent in snapshot.blocks:
-            position.families.note_stored(parent, (key,))
+            position.families.record_stored(parent, (key,))
         self._positions[replica.replica_id] = position
         folded = {key: True for key, _ in snapshot.blocks}
         notes = self._notes_by_owner(replica, position, folded)
@@ -177,7 +177,7 @@
     ) -> None:
         """Fold events to what holds at their end, and send each family's part to its owner."""
         self.events_read += len(events)
-        folded = position.families.fold(events)
+        folded = position.families.apply_events(events)
         for owner_id, notes in self._notes_by_owner(replica, position, folded).items():
             for note in notes:
                 self._node.send_to(owner_id, note)
--- a/winchfork/cluster/node.py
+++ b/winchfork/cluster/node.py
@@ -207,7 +207,7 @@
                     ReplicaState.ACCEPTING if entry.available else ReplicaState.UNAVAILABLE
                 )
             if entry.available:
-                replica.note_load(entry.update(replica.load), entry.version / 10)
+                replica.update_load(entry.update(replica.load), entry.version / 10)
 
     def _pull_newer(self, revisions: tuple[int, ...], sender: str) -> None:
         with self.state.lock:
@@ -259,7 +259,7 @@
             if message.reset and index.fence(message.replica_id, message.incarnation):
                 index.forget(message.replica_id)
             if message.gone:
-                index.correct(message.replica_id, message.incarnation, message.gone, 0)
+                index.drop_uncached(message.replica_id, message.incarnation, message.gone, 0)
             if message.held:
                 index.assume_stored(message.replica_id, message.incarnation, message.held)
 
--- a/winchfork/cluster/state.py
+++ b/winchfork/cluster/state.py
@@ -77,7 +77,7 @@
         """Add a step to the decision log and write it as an event."""
         event = DecisionEvent(time.time(), step, reason, details)
         with self.lock:
-            self.decisions.note(request_id, event)
+            self.decisions.record(request_id, event)
         log_event(step, "DEBUG", request=request_id, reason=reason, **_scalars(details))
 
     def install_document(self, name: DocumentName, document: Document) -> bool:
--- a/winchfork/cluster/waiting_store.py
+++ b/winchfork/cluster/waiting_store.py
@@ -6,7 +6,7 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from winchfork.core.waiting import AnswerSheet, WaitingAnswer, WaitingBatch
+from winchfork.core.waiting import BatchAnswers, WaitingAnswer, WaitingBatch
 from winchfork.errors import Failure, FailureKind
 from winchfork.stores.key_value import Entry, KeyValueStore, swap_until_known
 
@@ -75,23 +75,23 @@
             return self._store.delete(entry.key, entry.revision)
         return entry
 
-    def get_answers(self, batch_id: str) -> AnswerSheet | Failure:
+    def get_answers(self, batch_id: str) -> BatchAnswers | Failure:
         """Read a batch's recorded answers."""
         entry = self._store.get(self._key("answers", batch_id))
         if isinstance(entry, Failure):
             return entry
-        return AnswerSheet() if entry is None else AnswerSheet.from_text(entry.value)
+        return BatchAnswers() if entry is None else BatchAnswers.from_text(entry.value)
 
     def record_answers(
         self, batch_id: str, answers: dict[int, WaitingAnswer]
-    ) -> AnswerSheet | Failure:
+    ) -> BatchAnswers | Failure:
         """Add answers to those recorded; an answer that is there already stays."""
         key = self._key("answers", batch_id)
         while True:
             entry = self._store.get(key)
             if isinstance(entry, Failure):
                 return entry
-            sheet = AnswerSheet() if entry is None else AnswerSheet.from_text(entry.value)
+            sheet = BatchAnswers() if entry is None else BatchAnswers.from_text(entry.value)
             fresh = [number for number, answer in answers.items() if sheet.record(number, answer)]
             if not fresh:
                 return sheet
--- a/winchfork/core/admission.py
+++ b/winchfork/core/admission.py
@@ -17,10 +17,10 @@
 from winchfork.errors import Failure, FailureKind, RunState
 
 AGING_S = 20.0
-BATCH_SHARE = 0.7
+MAX_BATCH_SHARE = 0.7
 
 
-class Verdict(enum.Enum):
+class AdmissionOutcome(enum.Enum):
     """What became of an offered ticket."""
 
     ADMITTED = "admitted"
@@ -71,13 +71,13 @@
         """Requests waiting now."""
         return self._waiting_count
 
-    def offer(self, ticket: Ticket, now_s: float) -> Verdict | Failure:
+    def offer(self, ticket: Ticket, now_s: float) -> AdmissionOutcome | Failure:
         """Admit, queue or refuse a ticket; a refusal is immediate and final."""
         # Whatever waits has no slot either: a release admits all that can be, and neither a
         # withdrawal nor the passing of time makes a slot. So a free slot is this ticket's.
         if self._has_slot(ticket):
             self._admit(ticket)
-            return Verdict.ADMITTED
+            return AdmissionOutcome.ADMITTED
         if self._waiting_count >= self._limits.max_waiting:
             return FailureKind.OVERLOADED.because(
                 f"{self._waiting_count} requests are waiting already",
@@ -94,7 +94,7 @@
             )
         self._queue_of(ticket).append(ticket)
         self._waiting_count += 1
-        return Verdict.QUEUED
+        return AdmissionOutcome.QUEUED
 
     def expected_wait_s(self) -> float:
         """Estimate the wait of a ticket queued now, from the mean service time."""
@@ -149,7 +149,7 @@
         return not ticket.may_wait or self._open_batch < self._batch_slots()
 
     def _batch_slots(self) -> int:
-        return max(1, int(self._limits.max_open * BATCH_SHARE))
+        return max(1, int(self._limits.max_open * MAX_BATCH_SHARE))
 
     def _admit(self, ticket: Ticket) -> None:
         self._open[ticket.request_id] = ticket
--- a/winchfork/core/cache_index.py
+++ b/winchfork/core/cache_index.py
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass
-class _ReplicaBeliefs:
+class _ReplicaBlocks:
     number: int
     incarnation: int
     next_sequence: int = 1
@@ -54,7 +54,7 @@
 
     def __init__(self) -> None:
         self._holders: dict[BlockKey, _Holders] = {}
-        self._beliefs: dict[str, _ReplicaBeliefs] = {}
+        self._replicas: dict[str, _ReplicaBlocks] = {}
         self._names: list[str] = []
 
     def __len__(self) -> int:
@@ -62,9 +62,9 @@
 
     def fence(self, replica_id: str, incarnation: int) -> bool:
         """Bind beliefs to ``incarnation``; False if it is older than the one already known."""
-        beliefs = self._beliefs.get(replica_id)
+        beliefs = self._replicas.get(replica_id)
         if beliefs is None:
-            self._beliefs[replica_id] = _ReplicaBeliefs(len(self._names), incarnation)
+            self._replicas[replica_id] = _ReplicaBlocks(len(self._names), incarnation)
             self._names.append(replica_id)
             return True
         if incarnation < beliefs.incarnation:
@@ -80,7 +80,7 @@
         """Fold one event in; False when it was stale, doubled, or revealed a gap."""
         if not self.fence(replica_id, incarnation):
             return False
-        beliefs = self._beliefs[replica_id]
+        beliefs = self._replicas[replica_id]
         if event.sequence < beliefs.next_sequence:
             return False
         gap = event.sequence > beliefs.next_sequence
@@ -95,14 +95,14 @@
     def assume_stored(self, replica_id: str, incarnation: int, keys: Iterable[BlockKey]) -> None:
         """Believe that ``keys`` are held, from a dispatch or its report rather than an event."""
         if self.fence(replica_id, incarnation):
-            self._add(self._beliefs[replica_id], keys)
+            self._add(self._replicas[replica_id], keys)
 
-    def correct(
+    def drop_uncached(
         self, replica_id: str, incarnation: int, keys: Sequence[BlockKey], cached_blocks: int
     ) -> None:
         """Drop beliefs that a reply disproved: only ``cached_blocks`` leading keys were held."""
         if self.fence(replica_id, incarnation):
-            self._discard(self._beliefs[replica_id], keys[cached_blocks:])
+            self._discard(self._replicas[replica_id], keys[cached_blocks:])
 
     def replace(
         self, replica_id: str, incarnation: int, keys: Iterable[BlockKey], next_sequence: int
@@ -110,7 +110,7 @@
         """Install a snapshot of everything a replica holds; ends a suspicion."""
         if not self.fence(replica_id, incarnation):
             return
-        beliefs = self._beliefs[replica_id]
+        beliefs = self._replicas[replica_id]
         self._clear(beliefs)
         self._add(beliefs, keys)
         beliefs.next_sequence = next_sequence
@@ -118,18 +118,18 @@
 
     def forget(self, replica_id: str) -> None:
         """Drop every belief about a replica but keep its incarnation as the fence."""
-        beliefs = self._beliefs.get(replica_id)
+        beliefs = self._replicas.get(replica_id)
         if beliefs is not None:
             self._clear(beliefs)
 
     def is_suspect(self, replica_id: str) -> bool:
         """Tell whether the replica's event stream lost entries since its last snapshot."""
-        beliefs = self._beliefs.get(replica_id)
+        beliefs = self._replicas.get(replica_id)
         return beliefs is not None and beliefs.suspect
 
     def holds(self, replica_id: str, key: BlockKey) -> bool:
         """Tell whether ``replica_id`` is believed to hold ``key``."""
-        beliefs = self._beliefs.get(replica_id)
+        beliefs = self._replicas.get(replica_id)
         return beliefs is not None and key in beliefs.keys
 
     def match(self, block_keys: Sequence[BlockKey]) -> dict[str, int]:
@@ -152,7 +152,7 @@
             matched[self._names[number]] = depth + 1
         return matched
 
-    def _add(self, beliefs: _ReplicaBeliefs, keys: Iterable[BlockKey]) -> None:
+    def _add(self, beliefs: _ReplicaBlocks, keys: Iterable[BlockKey]) -> None:
         number = beliefs.number
         for key in keys:
             if key in beliefs.keys:
@@ -166,7 +166,7 @@
             else:
                 self._holders[key] = (*holders, number)
 
-    def _discard(self, beliefs: _ReplicaBeliefs, keys: Iterable[BlockKey]) -> None:
+    def _discard(self, beliefs: _ReplicaBlocks, keys: Iterable[BlockKey]) -> None:
         for key in keys:
             if key in beliefs.keys:
                 beliefs.keys.discard(key)
@@ -180,7 +180,7 @@
         remaining = tuple(holder for holder in holders if holder != number)
         self._holders[key] = remaining[0] if len(remaining) == 1 else remaining
 
-    def _clear(self, beliefs: _ReplicaBeliefs) -> None:
+    def _clear(self, beliefs: _ReplicaBlocks) -> None:
         for key in beliefs.keys:
             self._drop_holder(key, beliefs.number)
         beliefs.keys = set()
--- a/winchfork/core/kept_backlog.py
+++ b/winchfork/core/cached_parts_backlog.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 
-class KeptBacklog:
+class CachedPartsBacklog:
     """Part keys by the hash of the replica that keeps them, each once, oldest first."""
 
     def __init__(self) -> None:
@@ -23,15 +23,15 @@
         if not pending:
             self._keys.pop(replica_hash, None)
 
-    def take(self, most: int) -> list[tuple[int, tuple[int, ...]]]:
+    def pop(self, max_parts: int) -> list[tuple[int, tuple[int, ...]]]:
         """Take up to ``most`` parts out, by replica; the rest waits for the next time."""
         taken: list[tuple[int, tuple[int, ...]]] = []
         for replica_hash in list(self._keys):
-            if most <= 0:
+            if max_parts <= 0:
                 break
             keys = list(self._keys.pop(replica_hash))
-            taken.append((replica_hash, tuple(keys[:most])))
-            if keys[most:]:
-                self.add(replica_hash, keys[most:])
-            most -= len(keys)
+            taken.append((replica_hash, tuple(keys[:max_parts])))
+            if keys[max_parts:]:
+                self.add(replica_hash, keys[max_parts:])
+            max_parts -= len(keys)
         return taken
--- a/winchfork/core/claims.py
+++ b/winchfork/core/claims.py
@@ -168,7 +168,7 @@
     outcome: bytes | None = None
 
 
-def stamp_of_key(idempotency_key: str) -> float | None:
+def issue_time_of_key(idempotency_key: str) -> float | None:
     """Return the issue time in seconds carried by a UUIDv7 key, or None for any other key."""
     try:
         parsed = uuid.UUID(idempotency_key)
@@ -236,7 +236,7 @@
         if request.attempt in self._released or not self._has_authority(request.stamp_s, now_s):
             return self._reply(request, Verdict.ABSTAINED, None)
         self._votes[request.key] = _Vote(request.attempt)
-        self._bound_votes(now_s)
+        self._evict_oldest_vote(now_s)
         return self._reply(request, Verdict.GRANTED, None)
 
     def on_release(self, release: VoteRelease) -> None:
@@ -272,7 +272,7 @@
         """Vouch for a restarted voter (action ``vouch``), if this one is certified to."""
         vouches = request.epoch == self.panel.epoch and self.may_vote
         if vouches:
-            self._note_seen(request.voter, request.incarnation)
+            self._record_seen(request.voter, request.incarnation)
         return VouchReply(
             request.panel_id,
             request.epoch,
@@ -287,12 +287,12 @@
         current = reply.epoch == self.panel.epoch and reply.subject_incarnation == self.incarnation
         if not current or not reply.vouches or reply.voter not in self.panel.voters:
             return
-        self._note_seen(reply.voter, reply.incarnation)
+        self._record_seen(reply.voter, reply.incarnation)
         self._vouchers.add(reply.voter)
         if len(self._vouchers) >= self.panel.vouches_needed and not self._sealed:
             self._certified = True
 
-    def _note_seen(self, voter: str, incarnation: int) -> None:
+    def _record_seen(self, voter: str, incarnation: int) -> None:
         self._seen[voter] = max(self._seen.get(voter, 0), incarnation)
 
     def _has_authority(self, stamp_s: float | None, now_s: float) -> bool:
@@ -303,12 +303,12 @@
         from_future = stamp_s > now_s + self._margins.future_s
         return not from_future and stamp_s > self._authority_from_s + self._margins.restart_s
 
-    def _bound_votes(self, now_s: float) -> None:
+    def _evict_oldest_vote(self, now_s: float) -> None:
         """Drop the oldest vote when full, giving up authority over everything as old as it."""
         if len(self._votes) <= MAX_VOTES:
             return
         dropped_key, _ = self._votes.popitem(last=False)
-        stamp_s = stamp_of_key(dropped_key.rpartition("|")[2])
+        stamp_s = issue_time_of_key(dropped_key.rpartition("|")[2])
         newest_possible = now_s if stamp_s is None else stamp_s
         self._authority_from_s = max(
             self._authority_from_s, newest_possible - self._margins.restart_s
@@ -344,7 +344,7 @@
         self.voters = panel.voters
         self.majority = panel.majority
         self.phase = ClaimPhase.GATHERING
-        self.kept_outcome: bytes | None = None
+        self.recorded_outcome: bytes | None = None
         self._verdicts: dict[str, Verdict] = {}
 
     def on_vote_reply(self, reply: VoteReply) -> None:
@@ -358,26 +358,26 @@
         if not same or reply.voter not in self.voters:
             return
         if reply.outcome is not None and reply.verdict is not Verdict.GRANTED:
-            self.kept_outcome = reply.outcome
+            self.recorded_outcome = reply.outcome
         if self._verdicts.get(reply.voter) is not Verdict.GRANTED:
             self._verdicts[reply.voter] = reply.verdict
         if self.phase is ClaimPhase.GATHERING and self._granted() >= self.majority:
             self.phase = ClaimPhase.WON
 
     @property
-    def is_settled(self) -> bool:
+    def is_decided(self) -> bool:
         """Whether waiting for further replies is of no use.
 
         That is so when won, when a kept answer is known, or when so many voters abstain that no
         majority is left and no voter holds the key for an attempt whose answer may still come.
         """
-        if self.phase is ClaimPhase.WON or self.kept_outcome is not None:
+        if self.phase is ClaimPhase.WON or self.recorded_outcome is not None:
             return True
         verdicts = list(self._verdicts.values())
         abstained = verdicts.count(Verdict.ABSTAINED)
         return abstained > len(self.voters) - self.majority and Verdict.HELD not in verdicts
 
-    def unheard_voters(self) -> list[str]:
+    def voters_without_grant(self) -> list[str]:
         """Return the voters that have not granted yet; they are asked again."""
         return [voter for voter in self.voters if self._verdicts.get(voter) is not Verdict.GRANTED]
 
@@ -410,7 +410,7 @@
         release = VoteRelease(self.request.panel_id, self.request.key, self.request.attempt)
         return self._give_up_failure(first_send), release
 
-    def _give_up_failure(self, only_send: bool) -> Failure:
+    def _give_up_failure(self, first_send: bool) -> Failure:
         counts = dict.fromkeys(Verdict, 0)
         for verdict in self._verdicts.values():
             counts[verdict] += 1
@@ -419,7 +419,7 @@
             f"{counts[Verdict.ABSTAINED]} abstained of {len(self.voters)} voters"
         )
         kind = FailureKind.CLAIM_HELD if counts[Verdict.HELD] else FailureKind.CLAIM_NO_MAJORITY
-        if only_send:
+        if first_send:
             return kind.because(
                 f"no majority of voters granted the claim ({summary})",
                 remedy="send the command again under a new key",
--- a/winchfork/core/configuration.py
+++ b/winchfork/core/configuration.py
@@ -214,7 +214,7 @@
         return True
 
 
-def changed_fields(old: dict[str, Any], new: dict[str, Any]) -> list[tuple[str, Any, Any]]:
+def changed_objects(old: dict[str, Any], new: dict[str, Any]) -> list[tuple[str, Any, Any]]:
     """List (object, old, new) for every named object that differs between two configurations."""
     changes: list[tuple[str, Any, Any]] = []
     for section in ("tenants", "traffic_classes", "pools", "rules"):
--- a/winchfork/core/crash_ledger.py
+++ b/winchfork/core/crash_history.py
@@ -22,22 +22,22 @@
 import msgspec
 
 #: Incarnations that may end under a request before it is refused.
-ENDS_TO_REFUSE = 3
+CRASHES_TO_REFUSE = 3
 #: A suspicion that nothing has confirmed or cleared for this long is forgotten.
-SUSPICION_S = 3600.0
+SUSPICION_TTL_S = 3600.0
 #: For how long a request is refused the first time, and each time after that.
 FIRST_REFUSAL_S = 600.0
-REFUSAL_S = 24 * 3600.0
+REPEATED_REFUSAL_S = 24 * 3600.0
 #: A replica takes some 50 runs along when it ends: the suspicions of 300 such ends, 4 MB.
-MOST_SUSPECTS = 16_384
+MAX_SUSPECTS = 16_384
 #: A request that many send may be on every replica of a small service when they end one after the
 #: other, with no time for a run that ends well in between. One that ended well so shortly before is
 #: no request that ends its replica each time.
-ENDED_WELL_S = 3.0
+RECENT_SUCCESS_S = 3.0
 #: Requests that ended well lately and are remembered: some seconds of a busy daemon.
-MOST_ENDED_WELL = 1_024
+MAX_RECENT_SUCCESSES = 1_024
 #: Refused requests, each of which has ended three replicas.
-MOST_REFUSED = 4_096
+MAX_REFUSED = 4_096
 
 _Entry = TypeVar("_Entry")
 
@@ -46,7 +46,7 @@
     """The incarnations that have ended under a request, and when the last of them was noted."""
 
     incarnations: tuple[int, ...]
-    noted_s: float
+    updated_at_s: float
 
 
 class _Refusal(msgspec.Struct):
@@ -56,50 +56,50 @@
     until_s: float
 
 
-class CrashLedger:
+class CrashHistory:
     """Suspicions and refusals by digest. Not thread-safe."""
 
     def __init__(
-        self, most_suspects: int = MOST_SUSPECTS, most_refused: int = MOST_REFUSED
+        self, max_suspects: int = MAX_SUSPECTS, max_refused: int = MAX_REFUSED
     ) -> None:
-        self._most_suspects = most_suspects
-        self._most_refused = most_refused
+        self._max_suspects = max_suspects
+        self._max_refused = max_refused
         self._suspicions: OrderedDict[bytes, _Suspicion] = OrderedDict()
         #: When each of the last requests that ended well did so.
-        self._ended_well_s: OrderedDict[bytes, float] = OrderedDict()
+        self._succeeded_at_s: OrderedDict[bytes, float] = OrderedDict()
         #: Requests that are refused, or have been and were not cleared since.
         self._refusals: OrderedDict[bytes, _Refusal] = OrderedDict()
 
-    def note_end(self, digest: bytes, incarnation: int, now_s: float) -> bool:
+    def record_crash(self, digest: bytes, incarnation: int, now_s: float) -> bool:
         """Record that an incarnation ended under a request; False if that was known."""
-        known = self._known(digest, now_s)
+        known = self._live_suspicion(digest, now_s)
         if known is not None and incarnation in known.incarnations:
             return False
         before = known.incarnations if known is not None else ()
-        suspicion = _Suspicion((*before, incarnation)[-ENDS_TO_REFUSE:], now_s)
-        _put_last(self._suspicions, digest, suspicion, self._most_suspects)
+        suspicion = _Suspicion((*before, incarnation)[-CRASHES_TO_REFUSE:], now_s)
+        _put_last(self._suspicions, digest, suspicion, self._max_suspects)
         return True
 
-    def ends(self, digest: bytes, now_s: float) -> int:
+    def crash_count(self, digest: bytes, now_s: float) -> int:
         """Return how many incarnations have ended under a request since it last ended well."""
         if digest in self._refusals:
-            return ENDS_TO_REFUSE
-        known = self._known(digest, now_s)
+            return CRASHES_TO_REFUSE
+        known = self._live_suspicion(digest, now_s)
         return len(known.incarnations) if known is not None else 0
 
-    def holds_end(self, digest: bytes, incarnation: int, now_s: float) -> bool:
+    def has_crash(self, digest: bytes, incarnation: int, now_s: float) -> bool:
         """Whether this very end still counts against a request."""
-        known = self._known(digest, now_s)
+        known = self._live_suspicion(digest, now_s)
         return known is not None and incarnation in known.incarnations
 
-    def note_ended_well(self, digest: bytes, now_s: float) -> None:
+    def record_success(self, digest: bytes, now_s: float) -> None:
         """Record that a run of a request has ended well."""
-        _put_last(self._ended_well_s, digest, now_s, MOST_ENDED_WELL)
+        _put_last(self._succeeded_at_s, digest, now_s, MAX_RECENT_SUCCESSES)
 
-    def ended_well_lately(self, digest: bytes, now_s: float) -> bool:
+    def succeeded_recently(self, digest: bytes, now_s: float) -> bool:
         """Whether a run of a request ended well here a short time ago."""
-        ended_s = self._ended_well_s.get(digest)
-        return ended_s is not None and now_s - ended_s <= ENDED_WELL_S
+        ended_s = self._succeeded_at_s.get(digest)
+        return ended_s is not None and now_s - ended_s <= RECENT_SUCCESS_S
 
     def clear(self, digest: bytes) -> bool:
         """Forget what a request was suspected of, and refuse it no longer; False if nothing was.
@@ -112,7 +112,7 @@
 
     def refuse(self, digest: bytes, times: int, until_s: float) -> None:
         """Refuse a request, for the ``times``-th time, until then."""
-        _put_last(self._refusals, digest, _Refusal(times, until_s), self._most_refused)
+        _put_last(self._refusals, digest, _Refusal(times, until_s), self._max_refused)
 
     def is_refused(self, digest: bytes, now_s: float) -> bool:
         """Whether a request is refused now."""
@@ -127,29 +127,29 @@
     @staticmethod
     def refusal_s(times: int) -> float:
         """Return for how long a request is refused the ``times``-th time."""
-        return FIRST_REFUSAL_S if times <= 1 else REFUSAL_S
+        return FIRST_REFUSAL_S if times <= 1 else REPEATED_REFUSAL_S
 
     @property
-    def suspected(self) -> int:
+    def suspected_count(self) -> int:
         """Requests under suspicion."""
         return len(self._suspicions)
 
     @property
-    def refused(self) -> int:
+    def refused_count(self) -> int:
         """Requests that are refused, or have been and were not cleared since."""
         return len(self._refusals)
 
-    def _known(self, digest: bytes, now_s: float) -> _Suspicion | None:
+    def _live_suspicion(self, digest: bytes, now_s: float) -> _Suspicion | None:
         known = self._suspicions.get(digest)
-        if known is not None and now_s - known.noted_s > SUSPICION_S:
+        if known is not None and now_s - known.updated_at_s > SUSPICION_TTL_S:
             del self._suspicions[digest]
             return None
         return known
 
 
-def _put_last(table: OrderedDict[bytes, _Entry], digest: bytes, entry: _Entry, most: int) -> None:
+def _put_last(table: OrderedDict[bytes, _Entry], digest: bytes, entry: _Entry, max_entries: int) -> None:
     """Enter what was touched just now; of more than ``most``, the longest untouched goes."""
     table[digest] = entry
     table.move_to_end(digest)
-    if len(table) > most:
+    if len(table) > max_entries:
         table.popitem(last=False)
--- a/winchfork/core/decisions.py
+++ b/winchfork/core/decisions.py
@@ -15,7 +15,7 @@
 from winchfork.constants import DECISION_LOG_ENTRIES
 
 #: Requests whose steps are still kept as objects; the oldest is compressed when there are more.
-OPEN_REQUESTS = 512
+MAX_UNCOMPRESSED_REQUESTS = 512
 
 
 @dataclasses.dataclass(frozen=True)
@@ -40,10 +40,10 @@
         self._open: OrderedDict[str, list[DecisionEvent]] = OrderedDict()
         self._packed: OrderedDict[str, bytes] = OrderedDict()
 
-    def note(self, request_id: str, event: DecisionEvent) -> None:
+    def record(self, request_id: str, event: DecisionEvent) -> None:
         """Add one step to a request."""
         self._open.setdefault(request_id, []).append(event)
-        while len(self._open) > OPEN_REQUESTS:
+        while len(self._open) > MAX_UNCOMPRESSED_REQUESTS:
             self._pack(*self._open.popitem(last=False))
 
     def explain(self, request_id: str) -> list[dict[str, Any]]:
--- a/winchfork/core/document_table.py
+++ b/winchfork/core/document_table.py
@@ -16,7 +16,7 @@
 from winchfork.core.store_position import StorePosition
 
 #: Entries that have gone and are remembered; a peer that is further behind gets everything.
-MOST_GONE = 2_000
+MAX_REMOVED = 2_000
 #: Below every revision that the store gives out.
 NO_REVISION = -1
 
@@ -30,7 +30,7 @@
     key: str
     revision: int
     value: bytes | None
-    vanished: bool = False
+    missing_after_outage: bool = False
 
 
 class TableUpdate(msgspec.Struct, frozen=True):
@@ -53,9 +53,9 @@
 
     def __init__(self) -> None:
         self._items: dict[str, TableItem] = {}
-        self._gone: OrderedDict[str, TableItem] = OrderedDict()
+        self._removed: OrderedDict[str, TableItem] = OrderedDict()
         #: Entries that went at or before this revision may have been forgotten.
-        self._gone_known_after = 0
+        self._removals_known_after = 0
         self._listed_after_outage = False
 
     def begin_era(self) -> None:
@@ -67,29 +67,29 @@
             key: msgspec.structs.replace(item, revision=NO_REVISION)
             for key, item in self._items.items()
         }
-        self._gone.clear()
-        self._gone_known_after = 0
+        self._removed.clear()
+        self._removals_known_after = 0
 
-    def note(self, item: TableItem) -> bool:
+    def apply(self, item: TableItem) -> bool:
         """Take an entry in; False when a newer one is held."""
-        known = self._items.get(item.key) or self._gone.get(item.key)
+        known = self._items.get(item.key) or self._removed.get(item.key)
         if known is not None and known.revision >= item.revision:
             return False
         self._items.pop(item.key, None)
-        self._gone.pop(item.key, None)
+        self._removed.pop(item.key, None)
         if item.value is not None:
             self._items[item.key] = item
             return True
-        self._gone[item.key] = item
-        if len(self._gone) > MOST_GONE:
-            _, forgotten = self._gone.popitem(last=False)
-            self._gone_known_after = max(self._gone_known_after, forgotten.revision)
+        self._removed[item.key] = item
+        if len(self._removed) > MAX_REMOVED:
+            _, forgotten = self._removed.popitem(last=False)
+            self._removals_known_after = max(self._removals_known_after, forgotten.revision)
         return True
 
-    def note_list(self, at_revision: int, *, after_outage: bool) -> None:
+    def mark_listed(self, at_revision: int, *, after_outage: bool) -> None:
         """Everything before this revision was learned from a list: what had gone is not known."""
         self._listed_after_outage = after_outage
-        self._gone_known_after = max(self._gone_known_after, at_revision)
+        self._removals_known_after = max(self._removals_known_after, at_revision)
 
     def missing_from(self, listed: Iterable[str]) -> list[str]:
         """Return the keys held here that a complete list does not hold."""
@@ -97,9 +97,9 @@
 
     def update_after(self, known: StorePosition, at: StorePosition) -> TableUpdate:
         """Return what a peer that knows everything up to ``known`` lacks up to ``at``."""
-        complete = known.era != at.era or known.revision < self._gone_known_after
+        complete = known.era != at.era or known.revision < self._removals_known_after
         after = NO_REVISION if complete else known.revision
-        gone = () if complete else self._gone.values()
+        gone = () if complete else self._removed.values()
         items = [item for item in (*self._items.values(), *gone) if item.revision > after]
         items.sort(key=lambda item: item.revision)
         after_outage = complete and self._listed_after_outage
--- a/winchfork/core/families.py
+++ b/winchfork/core/families.py
@@ -35,7 +35,7 @@
         #: 0 for a block above the family depth.
         self._family_of: dict[BlockKey, BlockKey] = {}
 
-    def note_stored(self, parent: BlockKey, keys: Iterable[BlockKey]) -> None:
+    def record_stored(self, parent: BlockKey, keys: Iterable[BlockKey]) -> None:
         """Derive the families of a run of blocks from its parent's; parent 0 starts a chain."""
         for key in keys:
             if parent == 0:
@@ -52,7 +52,7 @@
         """Drop a removed block."""
         self._family_of.pop(key, None)
 
-    def fold(self, events: Iterable[CacheEvent]) -> dict[BlockKey, bool]:
+    def apply_events(self, events: Iterable[CacheEvent]) -> dict[BlockKey, bool]:
         """Return what holds at the end of ``events``: each block, and whether it is stored.
 
         A block that came and went between two reads is told of once, as gone.
@@ -61,7 +61,7 @@
         for event in events:
             stored = event.kind is EventKind.STORED
             if stored:
-                self.note_stored(event.parent_key, event.block_keys)
+                self.record_stored(event.parent_key, event.block_keys)
             for key in event.block_keys:
                 folded[key] = stored
         return folded
--- a/winchfork/core/fence_book.py
+++ b/winchfork/core/fence_registry.py
@@ -14,9 +14,9 @@
 from winchfork.core.store_position import StorePosition
 
 #: Entries of holders that are remembered, to tell one that came back from one that is new.
-MOST_ENTRIES = 16
+MAX_ENTRIES = 16
 #: A replica that has seen a higher fence does not say which: the next is this much higher.
-REFUSED_STEP = 1_000
+REFUSED_FENCE_INCREMENT = 1_000
 
 
 class _RecordedFence(msgspec.Struct, frozen=True):
@@ -26,29 +26,29 @@
     fence: int
 
 
-class FenceBook:
+class FenceRegistry:
     """What one daemon knows of holders' fences. Not thread-safe."""
 
     def __init__(self) -> None:
         self._recorded = _RecordedFence(StorePosition(), 0)
-        self._entries: deque[StorePosition] = deque(maxlen=MOST_ENTRIES)
+        self._entries: deque[StorePosition] = deque(maxlen=MAX_ENTRIES)
         self.highest = 0
 
-    def note_entry(self, entry: StorePosition) -> None:
+    def record_entry(self, entry: StorePosition) -> None:
         """Take in where a holder's entry was written."""
         self.highest = max(self.highest, self.fence_of(entry))
         if entry not in self._entries:
             self._entries.append(entry)
 
-    def note_record(self, position: StorePosition, fence: int) -> None:
+    def record_fence(self, position: StorePosition, fence: int) -> None:
         """Take in a recorded fence and where it was written."""
         if position >= self._recorded.position:
             self._recorded = _RecordedFence(position, fence)
         self.highest = max(self.highest, fence)
 
-    def note_refused(self, fence: int) -> None:
+    def record_refusal(self, fence: int) -> None:
         """A replica has seen a higher fence than this one."""
-        self.highest = max(self.highest, fence + REFUSED_STEP)
+        self.highest = max(self.highest, fence + REFUSED_FENCE_INCREMENT)
 
     def fence_of(self, entry: StorePosition) -> int:
         """Return the fence of the holder whose entry was written there."""
@@ -56,14 +56,14 @@
         is_before = recorded.position.era == entry.era and recorded.position <= entry
         return max(entry.revision, recorded.fence if is_before else 0)
 
-    def to_record(self, known: StorePosition) -> int | None:
+    def fence_to_record(self, known: StorePosition) -> int | None:
         """Return the fence that an entry needs which is written after ``known``.
 
         None where its revision is high enough by itself.
         """
         return self.highest + 1 if self.highest > known.revision else None
 
-    def came_back(self, entry: StorePosition) -> bool:
+    def is_restored(self, entry: StorePosition) -> bool:
         """Whether an entry was written in an era before its own, as far as known."""
         return any(
             known.revision == entry.revision and known.era < entry.era for known in self._entries
--- a/winchfork/core/fleet.py
+++ b/winchfork/core/fleet.py
@@ -104,7 +104,7 @@
         load = self.load
         return load.running_requests + load.waiting_requests + len(self._dispatches)
 
-    def note_dispatch(
+    def record_dispatch(
         self, attempt_id: str, uncached_tokens: int, now_s: float, *, urgent: bool = False
     ) -> None:
         """Count work sent now."""
@@ -113,7 +113,7 @@
         if urgent:
             self.dispatched_urgent_tokens += uncached_tokens
 
-    def note_started(self, attempt_id: str) -> None:
+    def remove_dispatch(self, attempt_id: str) -> None:
         """Stop counting a dispatch whose prefill is done or which failed."""
         own = self._dispatches.pop(attempt_id, None)
         if own is None:
@@ -122,13 +122,13 @@
         if own.urgent:
             self.dispatched_urgent_tokens -= own.tokens
 
-    def note_load(self, load: ReplicaLoad, measured_at_s: float) -> None:
+    def update_load(self, load: ReplicaLoad, measured_at_s: float) -> None:
         """Install a load report, which includes what was dispatched before it was measured."""
         self.load = load
         self.load_measured_at_s = measured_at_s
         for attempt_id, own in list(self._dispatches.items()):
             if own.sent_at_s < measured_at_s:
-                self.note_started(attempt_id)
+                self.remove_dispatch(attempt_id)
 
 
 class Fleet:
@@ -153,7 +153,7 @@
         """Forget a replica."""
         self._replicas.pop(replica_id, None)
 
-    def doubtful(self, pool: str, excluded: frozenset[str]) -> list[Replica]:
+    def possibly_available(self, pool: str, excluded: frozenset[str]) -> list[Replica]:
         """Return the replicas of ``pool`` held for unavailable, which may be so no more."""
         found = [
             replica
--- a/winchfork/core/gossip_queue.py
+++ b/winchfork/core/gossip_queue.py
@@ -26,12 +26,12 @@
         self._remove(name)
         self._insert(name, messages)
 
-    def take(self, most: int) -> list[str]:
+    def pop(self, max_names: int) -> list[str]:
         """Return up to ``most`` names for one message, those told the fewest times first."""
         chosen: list[str] = []
         for messages_left in sorted(self._buckets, reverse=True):
             for name in self._buckets[messages_left]:
-                if len(chosen) == most:
+                if len(chosen) == max_names:
                     break
                 chosen.append(name)
         for name in chosen:
--- a/winchfork/core/membership.py
+++ b/winchfork/core/membership.py
@@ -32,12 +32,12 @@
 #: The same while more than that wait and doubts are among them, one and a half kilobytes: after a
 #: cut each side has doubted all of the other. Of 42 daemons in two regions all know each other's
 #: work 0.5 to 3.75 s after it has healed (12 seeds, virtual time); with six changes up to 6.75 s.
-CROWDED_CHANGES = 16
+BACKLOG_PIGGYBACK_CHANGES = 16
 #: A probe by a daemon that knows fewer members is answered with records drawn from all, this many
 #: for each member that it lacks and at most so many, 4 KB: when a whole fleet starts, changes that
 #: ride on messages alone take half a minute to reach 195 daemons.
 RECORDS_PER_MISSING = 8
-MOST_RECORDS = 64
+MAX_RECORDS = 64
 #: Each change rides on this many messages times log2 of the members, then is dropped.
 SPREAD_FACTOR = 3
 INDIRECT_PROBES = 2
@@ -79,14 +79,14 @@
         #: Members whose status is not ALIVE: the only ones that time alone can change.
         self._not_alive: set[str] = set()
         #: Members that were doubted or have refuted a doubt, while that is still to be spread.
-        self._doubted: set[str] = set()
-        self._strangers: list[str] = []
-        self._strangers_changes = -1
+        self._recently_suspected: set[str] = set()
+        self._unknown_seeds: list[str] = []
+        self._unknown_seeds_as_of = -1
         self._probes = OpenProbes()
         self._probe_order: list[str] = []
         self._periods = 0
         #: Counts changes of any record, so that readers can tell whether a view is still true.
-        self.changes = 0
+        self.change_count = 0
 
     def members(self, *, include_leaving: bool = True) -> list[Member]:
         """Return the members that may be working, with this daemon, ordered by id."""
@@ -109,7 +109,7 @@
         """Announce a planned stop: the record spreads with the next messages."""
         self._replace_own(msgspec.structs.replace(self.own, status=MemberStatus.LEAVING))
 
-    def tell_store_delay(self, delay_ms: int) -> None:
+    def announce_store_delay(self, delay_ms: int) -> None:
         """Announce how far this daemon is from the platform's store."""
         incarnation = self.own.incarnation + 1
         self._replace_own(
@@ -126,23 +126,23 @@
         self._expire_suspects(now_s)
         target = self._next_target()
         if target is not None:
-            told = self._doubts_of(target)
+            told = self._suspicion_of(target)
             outgoing.append(self._probe(target.member_id, target.peer_address, now_s, told))
         self._periods += 1
         if self._periods % RECONNECT_PERIODS == 0:
             outgoing += self._probe_dead(now_s)
-        strangers = self._unmet_seeds()
+        strangers = self._find_unknown_seeds()
         if strangers:
             outgoing.append(self._probe("", self._generator.choice(strangers), now_s))
         return outgoing
 
-    def _unmet_seeds(self) -> list[str]:
+    def _find_unknown_seeds(self) -> list[str]:
         """Return the seeds at whose address no member is known."""
-        if self._strangers_changes != self.changes:
-            self._strangers_changes = self.changes
+        if self._unknown_seeds_as_of != self.change_count:
+            self._unknown_seeds_as_of = self.change_count
             known = {entry.member.peer_address for entry in self._tracked.values()}
-            self._strangers = [seed for seed in self._seeds if seed not in known]
-        return self._strangers
+            self._unknown_seeds = [seed for seed in self._seeds if seed not in known]
+        return self._unknown_seeds
 
     def probe(self, member: Member, now_s: float) -> Outgoing:
         """Probe one member besides the period's own."""
@@ -158,37 +158,37 @@
                 self.own,
                 message.nonce,
                 self._revisions(),
-                (*self._doubts_of(message.sender), *self._changes(), *self._records_for(message)),
+                (*self._suspicion_of(message.sender), *self._pop_changes(), *self._records_for(message)),
                 self._pack_loads(),
             )
             return [Outgoing(message.sender.peer_address, reply)]
         if isinstance(message, IndirectProbe):
             return self._relay_probe(message)
-        return self._take_reply(message)
+        return self._handle_reply(message)
 
-    def _take_reply(self, message: ProbeReply) -> list[Outgoing]:
-        probe = self._probes.take(message.nonce)
+    def _handle_reply(self, message: ProbeReply) -> list[Outgoing]:
+        probe = self._probes.pop(message.nonce)
         if probe is not None:
             self._on_reply(message.sender, message.revisions, probe.sent_at_s)
-        relayed = self._probes.take_relayed(message.nonce)
+        relayed = self._probes.pop_relayed(message.nonce)
         if relayed is None:
             return []
-        reply = ProbeReply(message.sender, relayed.nonce, message.revisions, self._changes())
+        reply = ProbeReply(message.sender, relayed.nonce, message.revisions, self._pop_changes())
         return [Outgoing(relayed.address, reply)]
 
     @property
-    def _working(self) -> int:
+    def _working_count(self) -> int:
         """How many other members are known and not held for dead."""
-        return len(self._tracked) - len(self._held_for_dead())
+        return len(self._tracked) - len(self._dead_member_ids())
 
-    def _held_for_dead(self) -> list[str]:
+    def _dead_member_ids(self) -> list[str]:
         return [
             member_id
             for member_id in sorted(self._not_alive)
             if self._tracked[member_id].member.status is MemberStatus.DEAD
         ]
 
-    def _doubts_of(self, member: Member) -> tuple[Member, ...]:
+    def _suspicion_of(self, member: Member) -> tuple[Member, ...]:
         """Return the record by which a member is doubted here, for the member itself to refute.
 
         Gossip alone brings it there late: after a cut each side has doubted all of the other.
@@ -199,11 +199,11 @@
 
     def _records_for(self, probe: Probe) -> list[Member]:
         """Draw records for a daemon that knows fewer members than this one."""
-        missing = self._working - probe.known_members
+        missing = self._working_count - probe.known_members
         if missing <= 0:
             return []
         entries = list(self._tracked.values())
-        most = min(MOST_RECORDS, RECORDS_PER_MISSING * missing, len(entries))
+        most = min(MAX_RECORDS, RECORDS_PER_MISSING * missing, len(entries))
         return [entry.member for entry in self._generator.sample(entries, most)]
 
     def _relay_probe(self, message: IndirectProbe) -> list[Outgoing]:
@@ -214,30 +214,30 @@
             self.own,
             self._probes.begin_relayed(message.sender.peer_address, message.nonce),
             self._revisions(),
-            self._changes(),
+            self._pop_changes(),
             on_behalf_of=message.sender.member_id,
-            known_members=self._working,
+            known_members=self._working_count,
         )
         return [Outgoing(target.member.peer_address, probe)]
 
     def _probe_dead(self, now_s: float) -> list[Outgoing]:
         """Probe a member held for dead, telling it so: if it lives, it refutes."""
-        dead = self._held_for_dead()
+        dead = self._dead_member_ids()
         if not dead:
             return []
         record = self._tracked[self._generator.choice(dead)].member
         return [self._probe("", record.peer_address, now_s, (record,))]
 
     def _probe(
-        self, target_id: str, address: str, now_s: float, told: tuple[Member, ...] = ()
+        self, target_id: str, address: str, now_s: float, extra_changes: tuple[Member, ...] = ()
     ) -> Outgoing:
         probe = Probe(
             self.own,
             self._probes.begin(target_id, now_s),
             self._revisions(),
-            (*told, *self._changes()),
+            (*extra_changes, *self._pop_changes()),
             loads=self._pack_loads(),
-            known_members=self._working,
+            known_members=self._working_count,
         )
         return Outgoing(address, probe)
 
@@ -258,23 +258,23 @@
                 return entry.member
 
     def _expire_probes(self, now_s: float) -> list[Outgoing]:
-        overdue = self._probes.take_overdue(now_s)
+        overdue = self._probes.pop_overdue(now_s)
         for probe in overdue.lost:
             self._suspect(probe.target_id, now_s)
         return [
             request
             for probe in overdue.unanswered
-            for request in self._ask_helpers(probe.nonce, probe.target_id)
+            for request in self._request_indirect_probes(probe.nonce, probe.target_id)
         ]
 
-    def _ask_helpers(self, nonce: int, target_id: str) -> list[Outgoing]:
+    def _request_indirect_probes(self, nonce: int, target_id: str) -> list[Outgoing]:
         others = [
             entry.member
             for member_id, entry in sorted(self._tracked.items())
             if member_id != target_id and entry.member.status is MemberStatus.ALIVE
         ]
         helpers = self._generator.sample(others, min(INDIRECT_PROBES, len(others)))
-        request = IndirectProbe(self.own, nonce, target_id, self._changes())
+        request = IndirectProbe(self.own, nonce, target_id, self._pop_changes())
         return [Outgoing(helper.peer_address, request) for helper in helpers]
 
     def _suspect(self, member_id: str, now_s: float) -> None:
@@ -295,7 +295,7 @@
                 )
             elif status is MemberStatus.DEAD and age_s >= FORGET_DEAD_AFTER_S:
                 self._not_alive.discard(member_id)
-                self.changes += 1
+                self.change_count += 1
                 del self._tracked[member_id]
 
     def _learn(self, record: Member, now_s: float) -> None:
@@ -314,13 +314,13 @@
 
     def _replace_own(self, record: Member) -> None:
         self.own = record
-        self.changes += 1
+        self.change_count += 1
         self._spread(record)
 
     def _install(self, record: Member, now_s: float) -> None:
-        self.changes += 1
+        self.change_count += 1
         if record.status is not MemberStatus.ALIVE or record.member_id in self._not_alive:
-            self._doubted.add(record.member_id)
+            self._recently_suspected.add(record.member_id)
         self._tracked[record.member_id] = _Tracked(record, now_s)
         if record.status is MemberStatus.ALIVE:
             self._not_alive.discard(record.member_id)
@@ -332,18 +332,18 @@
         rounds = max(1, len(self._tracked)).bit_length()
         self._to_spread.put(record.member_id, SPREAD_FACTOR * rounds)
 
-    def _is_crowded_by_doubts(self) -> bool:
+    def _has_suspicion_backlog(self) -> bool:
         """Whether many changes wait and some are doubts or refutations, as after a cut.
 
         Many wait when a whole fleet starts, too, but daemons that lack members are sent records.
         """
         if len(self._to_spread) <= PIGGYBACK_CHANGES:
-            self._doubted.clear()
-        self._doubted = {name for name in self._doubted if name in self._to_spread}
-        return bool(self._doubted)
+            self._recently_suspected.clear()
+        self._recently_suspected = {name for name in self._recently_suspected if name in self._to_spread}
+        return bool(self._recently_suspected)
 
-    def _changes(self) -> tuple[Member, ...]:
+    def _pop_changes(self) -> tuple[Member, ...]:
         """Take the changes that have been sent the fewest times."""
-        most = CROWDED_CHANGES if self._is_crowded_by_doubts() else PIGGYBACK_CHANGES
-        records = [self.get(member_id) for member_id in self._to_spread.take(most)]
+        most = BACKLOG_PIGGYBACK_CHANGES if self._has_suspicion_backlog() else PIGGYBACK_CHANGES
+        records = [self.get(member_id) for member_id in self._to_spread.pop(most)]
         return tuple(record for record in records if record is not None)
--- a/winchfork/core/open_probes.py
+++ b/winchfork/core/open_probes.py
@@ -10,7 +10,7 @@
 from winchfork.constants import HEARTBEAT_PERIOD_S, SUSPECT_AFTER_S
 
 #: Probes sent on for others that are remembered: some seconds of a busy helper.
-MOST_RELAYED = 64
+MAX_RELAYED = 64
 
 
 class OpenProbe(msgspec.Struct):
@@ -55,19 +55,19 @@
         """Return the nonce of a probe that is sent on for the member at an address."""
         nonce = self._take_nonce()
         self._relayed[nonce] = RelayedProbe(address, asked_nonce)
-        if len(self._relayed) > MOST_RELAYED:
+        if len(self._relayed) > MAX_RELAYED:
             del self._relayed[next(iter(self._relayed))]
         return nonce
 
-    def take(self, nonce: int) -> OpenProbe | None:
+    def pop(self, nonce: int) -> OpenProbe | None:
         """Close a probe that was answered; None if it is not open."""
         return self._open.pop(nonce, None)
 
-    def take_relayed(self, nonce: int) -> RelayedProbe | None:
+    def pop_relayed(self, nonce: int) -> RelayedProbe | None:
         """Close a probe that was sent on and answered; None if it was none."""
         return self._relayed.pop(nonce, None)
 
-    def take_overdue(self, now_s: float) -> OverdueProbes:
+    def pop_overdue(self, now_s: float) -> OverdueProbes:
         """Close the probes that are given up; return those that have become overdue since."""
         overdue = OverdueProbes([], [])
         for nonce, probe in list(self._open.items()):
--- a/winchfork/core/prompt_cost.py
+++ b/winchfork/core/prompt_cost.py
@@ -8,7 +8,7 @@
 from winchfork.core.region_map import Distance
 from winchfork.core.relay_replica import RelayReplica
 from winchfork.core.rendezvous import mixed_order
-from winchfork.core.zone_hubs import MOST_DIRECT_MEMBERS
+from winchfork.core.zone_hubs import MAX_FULL_MESH_MEMBERS
 
 #: Charge for a replica all of whose slots are taken, less for fewer: every token of a larger batch
 #: comes slower, and long answers gather only as far as there are slots.
@@ -105,7 +105,7 @@
 
 def spread_cost_s(prompt: Prompt, daemons: int, read_tokens_per_s: float) -> float:
     """Return how far the charges of a request may lie apart in a fleet of this size."""
-    share = max(0.0, min(1.0, (daemons - MOST_DIRECT_MEMBERS) / SPREAD_DAEMONS))
+    share = max(0.0, min(1.0, (daemons - MAX_FULL_MESH_MEMBERS) / SPREAD_DAEMONS))
     return share * (SPREAD_COST_S + prompt.prompt_tokens / read_tokens_per_s)
 
 
--- a/winchfork/core/region_delay.py
+++ b/winchfork/core/region_delay.py
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self.round_trip_s = PRIOR_ROUND_TRIP_S
 
-    def note_reply(self, took_s: float) -> None:
+    def record_reply(self, took_s: float) -> None:
         """Learn from a reply of a daemon in another region."""
         bounded_s = min(took_s, OUTLIER_RATIO * self.round_trip_s)
         self.round_trip_s += SAMPLE_WEIGHT * (bounded_s - self.round_trip_s)
--- a/winchfork/core/region_map.py
+++ b/winchfork/core/region_map.py
@@ -42,7 +42,7 @@
             return Distance.SAME_REGION
         return Distance.OTHER_REGION
 
-    def is_far(self, zone: str, other_zone: str) -> bool:
+    def is_cross_region(self, zone: str, other_zone: str) -> bool:
         """Whether two zones lie in different regions."""
         return self.distance(zone, other_zone) is Distance.OTHER_REGION
 
--- a/winchfork/core/retry_budget.py
+++ b/winchfork/core/retry_budget.py
@@ -18,7 +18,7 @@
         self._burst = burst
         self._balance = burst
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Earn the share of one first attempt."""
         self._balance = min(self._burst, self._balance + self._ratio)
 
--- a/winchfork/core/sliding_budget.py
+++ b/winchfork/core/sliding_retry_budget.py
@@ -33,11 +33,11 @@
         self._requests: dict[str, deque[float]] = {}
         self._repeats: dict[str, deque[float]] = {}
 
-    def note_request(self, service: str, now_s: float) -> None:
+    def record_request(self, service: str, now_s: float) -> None:
         """Count a caller's request."""
         self._trimmed(self._requests, service, now_s).append(now_s)
 
-    def note_repeat(self, service: str, now_s: float) -> None:
+    def record_repeat(self, service: str, now_s: float) -> None:
         """Count a repeat that was sent whatever the budget said."""
         self._trimmed(self._repeats, service, now_s).append(now_s)
 
@@ -50,13 +50,13 @@
             allowed += self._allowance.slack / max(1, daemons)
         return SAFETY_SHARE * allowed - repeats
 
-    def take(self, service: str, daemons: int, now_s: float, reserve: float = 0.0) -> bool:
+    def try_spend(self, service: str, daemons: int, now_s: float, reserve: float = 0.0) -> bool:
         """Spend one repeat; False when the share, less ``reserve`` of it, is used up."""
         repeats = len(self._trimmed(self._repeats, service, now_s))
         remaining = self.remaining(service, daemons, now_s)
         if remaining - reserve * (remaining + repeats) < 1.0:
             return False
-        self.note_repeat(service, now_s)
+        self.record_repeat(service, now_s)
         return True
 
     def _trimmed(self, counts: dict[str, deque[float]], service: str, now_s: float) -> deque[float]:
--- a/winchfork/core/store_outage.py
+++ b/winchfork/core/store_outage.py
@@ -17,19 +17,19 @@
 
 #: Seconds after which a daemon without a newer proof has lost the store: its longest wait of one
 #: watch and that call's time limit.
-LONGEST_WATCH_S = 2.5
+MAX_WATCH_S = 2.5
 #: A peer that answers later than this may have stood still, and then has not tried to reach it.
-PROMPT_REPLY_S = 0.5
+MAX_REPLY_DELAY_S = 0.5
 
 
 class StoreOutage(msgspec.Struct, frozen=True):
     """A time in which nobody reached the store, from its last proof to its first one after."""
 
-    lost_s: float
-    regained_s: float
+    started_at_s: float
+    ended_at_s: float
 
 
-class StoreOutageWatch:
+class StoreOutageDetector:
     """Collects one daemon's findings. Times are monotonic seconds of this daemon.
 
     ``has_peers``: whether there are others to ask; without, its own findings have to do.
@@ -44,8 +44,8 @@
         self.peers_needed = 1
         #: When the first call begun afresh that failed since the last proof began, and when each
         #: peer was first asked that had no newer proof either.
-        self._failed_afresh_s = math.inf
-        self._agreeing_s: dict[str, float] = {}
+        self._first_fresh_failure_at_s = math.inf
+        self._peers_agreed_at_s: dict[str, float] = {}
         self._ended: StoreOutage | None = None
 
     @property
@@ -53,7 +53,7 @@
         """Whether this daemon's own calls fail, so that its peers had better be asked."""
         return self._first_failure_s is not None
 
-    def note_failure(self, begun_s: float, failed_s: float) -> None:
+    def record_failure(self, begun_s: float, failed_s: float) -> None:
         """Take in that an own call failed.
 
         The first of a row may have gone over a connection that had fallen silent, or have run out
@@ -61,48 +61,48 @@
         """
         if self._first_failure_s is None:
             self._first_failure_s = failed_s
-        elif begun_s >= self._first_failure_s and failed_s - begun_s <= LONGEST_WATCH_S:
-            self._failed_afresh_s = min(self._failed_afresh_s, begun_s)
+        elif begun_s >= self._first_failure_s and failed_s - begun_s <= MAX_WATCH_S:
+            self._first_fresh_failure_at_s = min(self._first_fresh_failure_at_s, begun_s)
 
-    def note_answer(self, at_s: float) -> None:
+    def record_answer(self, at_s: float) -> None:
         """Take in that the store answered a call of this daemon that began at ``at_s``."""
         self._first_failure_s = None
-        self._note_proof(at_s)
+        self._record_proof(at_s)
 
-    def note_peer(self, peer_id: str, proven_at_s: float, asked_s: float, replied_s: float) -> None:
+    def record_peer_reply(self, peer_id: str, proven_at_s: float, asked_s: float, replied_s: float) -> None:
         """Take in a peer's reply: when the store last answered it, and when the peer was asked."""
         if proven_at_s > self._proven_s:
-            self._note_proof(proven_at_s)
+            self._record_proof(proven_at_s)
             return
-        is_prompt = replied_s - asked_s <= PROMPT_REPLY_S
-        if is_prompt and asked_s - self._silent_from_s >= LONGEST_WATCH_S:
-            self._agreeing_s.setdefault(peer_id, asked_s)
+        is_prompt = replied_s - asked_s <= MAX_REPLY_DELAY_S
+        if is_prompt and asked_s - self._unreached_since_s >= MAX_WATCH_S:
+            self._peers_agreed_at_s.setdefault(peer_id, asked_s)
 
-    def take_ended(self) -> StoreOutage | None:
+    def pop_ended(self) -> StoreOutage | None:
         """Return an outage that has ended, once."""
         ended, self._ended = self._ended, None
         return ended
 
     @property
-    def _silent_from_s(self) -> float:
+    def _unreached_since_s(self) -> float:
         return self._proven_s if math.isfinite(self._proven_s) else self._started_s
 
-    def _note_proof(self, at_s: float) -> None:
+    def _record_proof(self, at_s: float) -> None:
         if at_s <= self._proven_s:
             return
-        if self._was_away_until(at_s):
-            self._ended = StoreOutage(self._silent_from_s, at_s)
+        if self._was_unreachable_until(at_s):
+            self._ended = StoreOutage(self._unreached_since_s, at_s)
         self._proven_s = at_s
         if self._first_failure_s is not None and self._first_failure_s <= at_s:
             self._first_failure_s = None
-        if self._failed_afresh_s <= at_s:
-            self._failed_afresh_s = math.inf
-        later = {peer: asked_s for peer, asked_s in self._agreeing_s.items() if asked_s > at_s}
-        self._agreeing_s = later
+        if self._first_fresh_failure_at_s <= at_s:
+            self._first_fresh_failure_at_s = math.inf
+        later = {peer: asked_s for peer, asked_s in self._peers_agreed_at_s.items() if asked_s > at_s}
+        self._peers_agreed_at_s = later
 
-    def _was_away_until(self, at_s: float) -> bool:
+    def _was_unreachable_until(self, at_s: float) -> bool:
         """Whether everything found since the last proof says that nobody reached the store."""
-        failed_here = self._failed_afresh_s < at_s
-        agreeing = sum(asked_s < at_s for asked_s in self._agreeing_s.values())
+        failed_here = self._first_fresh_failure_at_s < at_s
+        agreeing = sum(asked_s < at_s for asked_s in self._peers_agreed_at_s.values())
         others_agree = agreeing >= self.peers_needed or not self._has_peers
-        return failed_here and others_agree and at_s - self._silent_from_s >= LONGEST_WATCH_S
+        return failed_here and others_agree and at_s - self._unreached_since_s >= MAX_WATCH_S
--- a/winchfork/core/suspect_runs.py
+++ b/winchfork/core/suspect_runs.py
@@ -18,7 +18,7 @@
 
     incarnation: int
     until_s: float
-    alone: bool
+    is_exclusive: bool
 
 
 class SuspectRuns:
@@ -40,10 +40,10 @@
         self._forget(now_s)
         return any(key[1] == digest for key in self._runs)
 
-    def taken(self, now_s: float) -> frozenset[int]:
+    def exclusive_incarnations(self, now_s: float) -> frozenset[int]:
         """Return the incarnations on which a suspect runs that shares no replica."""
         self._forget(now_s)
-        return frozenset(run.incarnation for run in self._runs.values() if run.alone)
+        return frozenset(run.incarnation for run in self._runs.values() if run.is_exclusive)
 
     def _forget(self, now_s: float) -> None:
         for key in [key for key, run in self._runs.items() if now_s >= run.until_s]:
--- a/winchfork/core/tenant_quota.py
+++ b/winchfork/core/tenant_quota.py
@@ -19,13 +19,13 @@
 
 #: Share of the tolerated excess that a tenant may use as a deeper bucket. The rest is for news on
 #: its way, which takes 0.06 to 0.12 s, and for daemons that are cut off or have just started.
-ALLOWED_SHARE = 0.1
+BURST_EXCESS_SHARE = 0.1
 #: Share of a bucket below which what is left is no longer taken for granted once a hub's word has
 #: grown old: at a limit every daemon would use it up for itself.
-LOW_SHARE = 0.5
+LOW_LEVEL_SHARE = 0.5
 #: Seconds after which a daemon's own use is part of what a hub has told it: two ticks of a hub and
 #: the ways there and back.
-OWN_USE_UNTOLD_S = 0.2
+HUB_REPORT_LAG_S = 0.2
 
 
 class QuotaUnit(enum.Enum):
@@ -68,7 +68,7 @@
         return self.overage * (limit.rate_per_s * self.window_s + limit.burst) + self.slack
 
 
-class Supply(msgspec.Struct, frozen=True):
+class RefillShare(msgspec.Struct, frozen=True):
     """How much of what flows in a daemon counts on.
 
     ``coverage`` is the share of the fleet whose use is heard of. ``own_share`` is this daemon's own
@@ -78,14 +78,14 @@
 
     coverage: float = 1.0
     own_share: float = 0.0
-    is_alone: bool = False
+    is_isolated: bool = False
 
 
 class QuotaRefusal(msgspec.Struct, frozen=True):
     """A request beyond the limit: ``retry_after_s`` is when the bucket will hold its cost."""
 
     cost: float
-    left: float
+    remaining: float
     retry_after_s: float
 
 
@@ -98,10 +98,10 @@
 
     def __init__(self, limit: TenantLimit, tolerance: QuotaTolerance, now_s: float) -> None:
         self._tolerance = tolerance
-        self._own: deque[tuple[float, float]] = deque()
-        self._own_part = 0.0
+        self._own_usage: deque[tuple[float, float]] = deque()
+        self._own_allowance = 0.0
         self._at_s = now_s
-        self.change(limit)
+        self.set_limit(limit)
         self.used = self._depth
 
     @property
@@ -110,68 +110,68 @@
         return self._limit
 
     @property
-    def fill_s(self) -> float:
+    def full_refill_s(self) -> float:
         """Seconds in which an empty bucket is full."""
         return self._depth / self._limit.rate_per_s
 
-    def change(self, limit: TenantLimit) -> None:
+    def set_limit(self, limit: TenantLimit) -> None:
         """Put another limit in force; what was used stays used."""
         self._limit = limit
-        self._depth = limit.burst + ALLOWED_SHARE * self._tolerance.excess(limit)
+        self._depth = limit.burst + BURST_EXCESS_SHARE * self._tolerance.excess(limit)
 
-    def settle(self, supply: Supply, now_s: float) -> None:
+    def refill(self, refill_share: RefillShare, now_s: float) -> None:
         """Let what has flowed in until now be used, as far as this daemon may count on it."""
         inflow = self._limit.rate_per_s * max(0.0, now_s - self._at_s)
         self._at_s = max(self._at_s, now_s)
-        self.used = max(0.0, self.used - supply.coverage * inflow)
-        share = supply.own_share
-        self._own_part = min(share * self._depth, self._own_part + share * inflow)
+        self.used = max(0.0, self.used - refill_share.coverage * inflow)
+        share = refill_share.own_share
+        self._own_allowance = min(share * self._depth, self._own_allowance + share * inflow)
 
-    def left(self, supply: Supply) -> float:
+    def remaining(self, refill_share: RefillShare) -> float:
         """Return the units that may be used; below 0 after others have used them as well."""
         left = self._depth - self.used
-        if supply.is_alone or (self.is_low and not supply.coverage):
-            return min(left, self._own_part)
+        if refill_share.is_isolated or (self.is_low and not refill_share.coverage):
+            return min(left, self._own_allowance)
         return left
 
     @property
     def is_low(self) -> bool:
         """Whether so little is left that every daemon had better know soon."""
-        return self._depth - self.used < LOW_SHARE * self._depth
+        return self._depth - self.used < LOW_LEVEL_SHARE * self._depth
 
-    def take(self, cost: float, supply: Supply, now_s: float) -> QuotaRefusal | None:
+    def try_acquire(self, cost: float, refill_share: RefillShare, now_s: float) -> QuotaRefusal | None:
         """Use ``cost`` units, or say when to come back.
 
         One request may cost more than the burst: it is admitted when the burst is there, and the
         rest is owed.
         """
         needed = min(cost, self._limit.burst)
-        left = self.left(supply)
+        left = self.remaining(refill_share)
         if left >= needed:
             self.use(cost, now_s)
             return None
-        flow = self._limit.rate_per_s * (supply.coverage or supply.own_share)
+        flow = self._limit.rate_per_s * (refill_share.coverage or refill_share.own_share)
         wait_s = (needed - left) / flow if flow > 0.0 else self._tolerance.window_s
         return QuotaRefusal(cost, left, wait_s)
 
     def use(self, cost: float, now_s: float) -> None:
         """Count this daemon's own use, whatever is left; below 0 gives back what was not used."""
         self.used += cost
-        self._own_part -= cost
-        self._forget_told(now_s)
-        self._own.append((now_s, cost))
+        self._own_allowance -= cost
+        self._drop_reported_usage(now_s)
+        self._own_usage.append((now_s, cost))
 
-    def add_others(self, cost: float) -> None:
+    def add_remote_usage(self, cost: float) -> None:
         """Count what other daemons have used or given back."""
         self.used += cost
 
     def replace(self, used: float, now_s: float) -> None:
         """Take a hub's word in place of the own estimate, and add what it cannot know yet."""
-        self._forget_told(now_s)
+        self._drop_reported_usage(now_s)
         # The word is of now: what has not been settled until then is in it.
         self._at_s = max(self._at_s, now_s)
-        self.used = used + sum(cost for _, cost in self._own)
+        self.used = used + sum(cost for _, cost in self._own_usage)
 
-    def _forget_told(self, now_s: float) -> None:
-        while self._own and self._own[0][0] < now_s - OWN_USE_UNTOLD_S:
-            self._own.popleft()
+    def _drop_reported_usage(self, now_s: float) -> None:
+        while self._own_usage and self._own_usage[0][0] < now_s - HUB_REPORT_LAG_S:
+            self._own_usage.popleft()
--- a/winchfork/core/waiting.py
+++ b/winchfork/core/waiting.py
@@ -97,7 +97,7 @@
     return digest, head, tail
 
 
-class AnswerSheet:
+class BatchAnswers:
     """The recorded answers of one batch; the first answer to a request stays."""
 
     def __init__(self, answers: dict[int, WaitingAnswer] | None = None) -> None:
@@ -116,7 +116,7 @@
         return json.dumps(document).encode()
 
     @classmethod
-    def from_text(cls, text: bytes) -> AnswerSheet:
+    def from_text(cls, text: bytes) -> BatchAnswers:
         """Read the stored form."""
         document = json.loads(text)
         return cls({int(number): WaitingAnswer(**item) for number, item in document.items()})
--- a/winchfork/core/zone_hubs.py
+++ b/winchfork/core/zone_hubs.py
@@ -30,14 +30,14 @@
 HUBS_PER_ZONE = 2
 #: Hubs of different zones that watch the platform's store for the whole fleet: two, for the same
 #: reason. Every watcher is woken by every change, and each call has a price, whatever the fleet.
-WATCHERS = 2
+WATCHERS_PER_FLEET = 2
 #: Hubs of a region that speak with other regions: two, for the same reason.
-SPEAKERS_PER_REGION = 2
+HUBS_PER_REGION = 2
 #: Delays to the store that differ by less than this, in milliseconds, count as equal: those of the
 #: zones of one region, as against those of another region.
 STORE_DELAY_STEP_MS = 8
 #: Up to this many daemons, each tells every other.
-MOST_DIRECT_MEMBERS = 13
+MAX_FULL_MESH_MEMBERS = 13
 
 
 @dataclasses.dataclass(frozen=True)
@@ -67,9 +67,9 @@
         return cls(own, tuple(members), hubs, regions or RegionMap())
 
     @functools.cached_property
-    def direct(self) -> bool:
+    def is_full_mesh(self) -> bool:
         """Whether the fleet is small enough for every daemon to tell every other."""
-        return len(self.members) <= MOST_DIRECT_MEMBERS
+        return len(self.members) <= MAX_FULL_MESH_MEMBERS
 
     @functools.cached_property
     def own_hubs(self) -> tuple[Member, ...]:
@@ -84,7 +84,7 @@
     @functools.cached_property
     def watchers(self) -> tuple[Member, ...]:
         """The daemons that watch the store: everybody in a small fleet, else a few hubs."""
-        if self.direct:
+        if self.is_full_mesh:
             return self.members
         first_hubs = sorted((hubs[0] for hubs in self.hubs.values()), key=_watcher_order)
         second_hubs = sorted(
@@ -94,7 +94,7 @@
             [*first_hubs, *second_hubs],
             key=lambda hub: (hub.status is not MemberStatus.ALIVE, not self._is_near(hub)),
         )
-        return tuple(nearest_first[:WATCHERS])
+        return tuple(nearest_first[:WATCHERS_PER_FLEET])
 
     @functools.cached_property
     def is_watcher(self) -> bool:
@@ -123,15 +123,15 @@
         return order[0]
 
     @functools.cached_property
-    def informants(self) -> tuple[Member, ...]:
+    def proof_sources(self) -> tuple[Member, ...]:
         """The daemons whose proofs this one relies on: hubs ask watchers, others their hubs.
 
         Hubs of a region without a watcher ask its speakers, and only those ask across the link.
         """
         nearer = self.own_hubs
         if self.is_hub:
-            watched = any(not self._is_far(watcher) for watcher in self.watchers)
-            nearer = self.watchers if watched or self.is_speaker else self.speakers
+            watched = any(not self._is_cross_region(watcher) for watcher in self.watchers)
+            nearer = self.watchers if watched or self.is_region_hub else self.region_hubs
         return tuple(member for member in nearer if member.member_id != self.own.member_id)
 
     @functools.cached_property
@@ -141,61 +141,61 @@
         return tuple(member for member in self.members if member.member_id != own_id)
 
     @functools.cached_property
-    def zone_others(self) -> tuple[Member, ...]:
+    def zone_peers(self) -> tuple[Member, ...]:
         """The other daemons of this daemon's zone."""
         return tuple(member for member in self.others if member.zone == self.own.zone)
 
     @functools.cached_property
-    def other_own_hubs(self) -> tuple[Member, ...]:
+    def own_hub_peers(self) -> tuple[Member, ...]:
         """The hubs of this daemon's zone without this daemon."""
         return tuple(hub for hub in self.own_hubs if hub.member_id != self.own.member_id)
 
     @functools.cached_property
-    def far_hubs(self) -> tuple[Member, ...]:
+    def other_zone_hubs(self) -> tuple[Member, ...]:
         """The hubs of every other zone, whatever its region."""
         zones = [zone for zone in self.hubs if zone != self.own.zone]
         return tuple(hub for zone in zones for hub in self.hubs[zone])
 
     @functools.cached_property
-    def near_hubs(self) -> tuple[Member, ...]:
+    def same_region_hubs(self) -> tuple[Member, ...]:
         """The hubs of the other zones of this daemon's region."""
-        return tuple(hub for hub in self.far_hubs if not self._is_far(hub))
+        return tuple(hub for hub in self.other_zone_hubs if not self._is_cross_region(hub))
 
     @functools.cached_property
-    def speakers(self) -> tuple[Member, ...]:
+    def region_hubs(self) -> tuple[Member, ...]:
         """The hubs that speak for this daemon's region, the first before its successor."""
-        return self._speakers_of(self.regions.region_of(self.own.zone))
+        return self._region_hubs_of(self.regions.region_of(self.own.zone))
 
     @functools.cached_property
-    def is_speaker(self) -> bool:
+    def is_region_hub(self) -> bool:
         """Whether this daemon is one of its region's speakers."""
-        return any(speaker.member_id == self.own.member_id for speaker in self.speakers)
+        return any(speaker.member_id == self.own.member_id for speaker in self.region_hubs)
 
     @functools.cached_property
-    def far_speakers(self) -> tuple[Member, ...]:
+    def other_region_hubs(self) -> tuple[Member, ...]:
         """The speakers of every other region."""
         own_region = self.regions.region_of(self.own.zone)
         regions = self.regions.regions_among(zone for zone in self.hubs if zone)
         far = [region for region in regions if region != own_region]
-        return tuple(speaker for region in far for speaker in self._speakers_of(region))
+        return tuple(speaker for region in far for speaker in self._region_hubs_of(region))
 
-    def is_far_daemon(self, member_id: str) -> bool:
+    def is_in_other_region(self, member_id: str) -> bool:
         """Whether a daemon is known to be of another region."""
-        return any(member.member_id == member_id for member in self._far_members)
+        return any(member.member_id == member_id for member in self._other_region_members)
 
     @functools.cached_property
-    def _far_members(self) -> tuple[Member, ...]:
-        return tuple(member for member in self.members if self._is_far(member))
+    def _other_region_members(self) -> tuple[Member, ...]:
+        return tuple(member for member in self.members if self._is_cross_region(member))
 
-    def _is_far(self, member: Member) -> bool:
-        return self.regions.is_far(self.own.zone, member.zone)
+    def _is_cross_region(self, member: Member) -> bool:
+        return self.regions.is_cross_region(self.own.zone, member.zone)
 
-    def _speakers_of(self, region: str) -> tuple[Member, ...]:
+    def _region_hubs_of(self, region: str) -> tuple[Member, ...]:
         """Return the first hubs of a region's zones: each speaks for its zone already."""
         zones = [zone for zone in self.hubs if self.regions.region_of(zone) == region]
-        first = sorted((self.hubs[zone][0] for zone in zones), key=_speaker_order)
+        first = sorted((self.hubs[zone][0] for zone in zones), key=_region_hub_order)
         second = [hub for zone in zones for hub in self.hubs[zone][1:]]
-        return tuple([*first, *second][:SPEAKERS_PER_REGION])
+        return tuple([*first, *second][:HUBS_PER_REGION])
 
 
 _Order = tuple[bool, int, int, str]
@@ -209,7 +209,7 @@
     return _order(member, member.zone)
 
 
-def _speaker_order(member: Member) -> _Order:
+def _region_hub_order(member: Member) -> _Order:
     return _order(member, "speaker")
 
 
--- a/winchfork/emulator/capacity.py
+++ b/winchfork/emulator/capacity.py
@@ -254,7 +254,7 @@
     tracemalloc.start()
     families = FamilyMap()
     for chain in chains:
-        families.note_stored(0, chain)
+        families.record_stored(0, chain)
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     count = sum(len(chain) for chain in chains)
@@ -314,7 +314,7 @@
     for start in range(0, len(events), 58):
         # One poll: the events of 0.2 s at 286 a second, folded and cut into one note an owner.
         batch = events[start : start + 58]
-        folded = families.fold(batch)
+        folded = families.apply_events(batch)
         by_owner: dict[int, tuple[list[int], list[int]]] = {}
         for key, stored in folded.items():
             held, gone = by_owner.setdefault(families.owner_key(key) % 8, ([], []))
@@ -455,7 +455,7 @@
                 if step == 1
                 else [],
             }
-            log.note(f"daemon-{number}", DecisionEvent(number / 3.0, "placed", "why", details))
+            log.record(f"daemon-{number}", DecisionEvent(number / 3.0, "placed", "why", details))
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return {"bytes_per_request": used / 5_000}
--- a/winchfork/emulator/sim_fleet.py
+++ b/winchfork/emulator/sim_fleet.py
@@ -20,7 +20,7 @@
     LOOKUP_TIMEOUT_S,
     MAX_PLACEMENTS_PER_REQUEST,
 )
-from winchfork.core.admission import AdmissionLimits, AdmissionQueue, Ticket, Verdict
+from winchfork.core.admission import AdmissionLimits, AdmissionQueue, Ticket, AdmissionOutcome
 from winchfork.core.cache_index import CacheEvent, CacheIndex
 from winchfork.core.configuration import TrafficClass
 from winchfork.core.families import FamilyMap, add_blocks_above, keys_from_family
@@ -162,7 +162,7 @@
     def _note_report(self, daemon: SimDaemon, engine: SimEngine) -> None:
         replica = daemon.fleet.get(engine.replica_id)
         if replica is not None:
-            replica.note_load(engine.model.load(), self.env.now)
+            replica.update_load(engine.model.load(), self.env.now)
             replica.identity = engine.model.identity
             daemon.index.fence(engine.replica_id, engine.model.identity.incarnation)
 
@@ -179,14 +179,14 @@
         families: FamilyMap,
         events: list[CacheEvent],
     ) -> None:
-        folded = families.fold(events)
+        folded = families.apply_events(events)
         incarnation = engine.model.identity.incarnation
         for key, stored in folded.items():
             owner = self._owner(families.owner_key(key), reader)
             if stored:
                 owner.index.assume_stored(engine.replica_id, incarnation, (key,))
             else:
-                owner.index.correct(engine.replica_id, incarnation, (key,), 0)
+                owner.index.drop_uncached(engine.replica_id, incarnation, (key,), 0)
                 families.forget(key)
 
     def _resync(self, reader: SimDaemon, engine: SimEngine) -> FamilyMap:
@@ -196,7 +196,7 @@
                 daemon.index.forget(engine.replica_id)
         incarnation = engine.model.identity.incarnation
         for key, parent in engine.model.cache.keys_with_parents():
-            families.note_stored(parent, (key,))
+            families.record_stored(parent, (key,))
             owner = self._owner(families.owner_key(key), reader)
             owner.index.assume_stored(engine.replica_id, incarnation, (key,))
         return families
@@ -216,7 +216,7 @@
                     if newer or not self.reachable(daemon.zone, replica.zone):
                         continue
                     heard = quantize(0, load, at_s).update(load)
-                    replica.note_load(heard, at_s)
+                    replica.update_load(heard, at_s)
 
     # --- requests ---
 
@@ -240,11 +240,11 @@
             arrived_s,
         )
         verdict = daemon.admission.offer(ticket, arrived_s)
-        daemon.retry_budget.note_request()
+        daemon.retry_budget.record_request()
         if isinstance(verdict, Failure):
             self.metrics.refused[verdict.kind.value] += 1
             return
-        if verdict is Verdict.QUEUED:
+        if verdict is AdmissionOutcome.QUEUED:
             turn = daemon.turns[request_id] = self.env.event()
             yield turn
         admitted_s = self.env.now
--- a/winchfork/gateway/admission_gate.py
+++ b/winchfork/gateway/admission_gate.py
@@ -6,7 +6,7 @@
 
 from winchfork.boot_clock import boot_seconds
 from winchfork.cluster.state import DaemonState
-from winchfork.core.admission import Ticket, Verdict
+from winchfork.core.admission import Ticket, AdmissionOutcome
 from winchfork.errors import Failure, RunState
 from winchfork.gateway.caller import Waiter
 from winchfork.gateway.requests import CallerContext
@@ -38,12 +38,12 @@
         admitted: Future[None] = Future()
         with self._state.lock:
             verdict = self._state.admission.offer(ticket, now_s)
-            if verdict is Verdict.QUEUED:
+            if verdict is AdmissionOutcome.QUEUED:
                 self._tickets[request_id] = admitted
-            self._state.retry_budget.note_request()
+            self._state.retry_budget.record_request()
         if isinstance(verdict, Failure):
             return verdict
-        if verdict is Verdict.QUEUED:
+        if verdict is AdmissionOutcome.QUEUED:
             return self._await_turn(request_id, caller, admitted)
         return None
 
--- a/winchfork/gateway/attempt_placement.py
+++ b/winchfork/gateway/attempt_placement.py
@@ -77,7 +77,7 @@
             replica = next(item for item in replicas if item.replica_id == decision.replica_id)
             identity = replica.identity
             source = self._state.fleet.get(decision.import_from)
-            replica.note_dispatch(attempt_id, decision.uncached_tokens, time.time(), urgent=urgent)
+            replica.record_dispatch(attempt_id, decision.uncached_tokens, time.time(), urgent=urgent)
         assert identity is not None
         if identity.weights_version != version:
             scope = CacheScope(context.tenant.name, request.model, identity.weights_version)
@@ -112,7 +112,7 @@
         at loading weights. Bounded, so that an outage of the pool costs little.
         """
         with self._state.lock:
-            doubtful = self._state.fleet.doubtful(pool.name, frozenset(excluded))
+            doubtful = self._state.fleet.possibly_available(pool.name, frozenset(excluded))
         for replica in doubtful[:_DOUBTFUL_ASKED]:
             if self._ask(replica):
                 return [replica]
@@ -125,7 +125,7 @@
             return False
         with self._state.lock:
             replica.identity = report.identity
-            replica.note_load(report.load, time.time())
+            replica.update_load(report.load, time.time())
         return True
 
     def _note_placement(
--- a/winchfork/gateway/generation.py
+++ b/winchfork/gateway/generation.py
@@ -210,7 +210,7 @@
                 result = self._resume(request_id, attempt, dispatch, callbacks, progress)
         finally:
             with self._state.lock:
-                attempt.replica.note_started(attempt.attempt_id)
+                attempt.replica.remove_dispatch(attempt.attempt_id)
         if isinstance(result, Failure) and result.kind not in _REPLACEABLE:
             self._engine.cancel(attempt.replica.address, attempt.attempt_id)
         return result
@@ -235,7 +235,7 @@
         self, request_id: str, attempt: PlacedAttempt, start: StreamStart, waited_s: float
     ) -> None:
         with self._state.lock:
-            attempt.replica.note_started(attempt.attempt_id)
+            attempt.replica.remove_dispatch(attempt.attempt_id)
         observed = start.cached_tokens // BLOCK_TOKENS
         self._metrics.reuse(attempt.prefix.prompt_tokens, start.cached_tokens)
         self._state.note_decision(
--- a/winchfork/gateway/relay.py
+++ b/winchfork/gateway/relay.py
@@ -88,7 +88,7 @@
         self, request_id: str, pool: Pool, request: RelayRequest, caller: Caller
     ) -> RelayAnswer | Failure:
         with self._state.lock:
-            self._state.retry_budget.note_request()
+            self._state.retry_budget.record_request()
         excluded: set[str] = set()
         failure = _no_back_end(pool)
         for number in range(_MAX_ATTEMPTS):
--- a/winchfork/router/crash_exchange.py
+++ b/winchfork/router/crash_exchange.py
@@ -50,7 +50,7 @@
         run = None
         if message.left_ms:
             until_s = self._state.clock() + message.left_ms / 1000.0
-            run = SuspectRun(message.incarnation, until_s, alone=True)
+            run = SuspectRun(message.incarnation, until_s, is_exclusive=True)
         self._guard.take_run(message.sender_id, message.digest, run)
 
     def take_cleared(self, message: ClearedRequests) -> None:
@@ -69,7 +69,7 @@
         """Repeat what still holds: an end that is told after its clearance would undo that."""
         now_s = self._state.clock()
         ledger = self._guard.ledger
-        left = tuple(item for item in digests if ledger.holds_end(item, incarnation, now_s))
+        left = tuple(item for item in digests if ledger.has_crash(item, incarnation, now_s))
         if left:
             self._peers.tell_everyone(EndedUnder(incarnation, left))
 
--- a/winchfork/router/crash_guard.py
+++ b/winchfork/router/crash_guard.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from winchfork.core.broken_runs import BrokenRuns, EndEvidence
-from winchfork.core.crash_ledger import ENDS_TO_REFUSE, CrashLedger
+from winchfork.core.broken_runs import BrokenRuns, CrashEvidence
+from winchfork.core.crash_history import CRASHES_TO_REFUSE, CrashHistory
 from winchfork.core.relay_replica import RelayReplica
 from winchfork.core.suspect_runs import SuspectRun, SuspectRuns
 from winchfork.errors import Failure, FailureKind, RunState
@@ -45,7 +45,7 @@
     def __init__(self, daemon_id: str, clock: Callable[[], float]) -> None:
         self._daemon_id = daemon_id
         self._clock = clock
-        self.ledger = CrashLedger()
+        self.ledger = CrashHistory()
         self.records = RefusalRecords(self.ledger, clock)
         self._broken = BrokenRuns()
         self._runs = SuspectRuns()
@@ -67,7 +67,7 @@
         if not self.ledger.is_refused(digest, self._clock()):
             return None
         return FailureKind.ENDS_REPLICAS.because(
-            f"{ENDS_TO_REFUSE} replicas ended while they ran this request ({digest.hex()})",
+            f"{CRASHES_TO_REFUSE} replicas ended while they ran this request ({digest.hex()})",
             remedy="do not send it again; change it, or ask the operators to release it",
             ran=ran,
         )
@@ -75,7 +75,7 @@
     def ends(self, digest: bytes) -> int:
         """Return how many replicas have ended under a request, or may have just now."""
         now_s = self._clock()
-        return self.ledger.ends(digest, now_s) + self._broken.unsettled(digest, now_s)
+        return self.ledger.crash_count(digest, now_s) + self._broken.count_unconfirmed(digest, now_s)
 
     async def settled(self, digest: bytes, ends_at_s: float) -> None:
         """Wait, where it matters to one try, until it is known whether replicas ended or live.
@@ -88,8 +88,8 @@
 
     def _is_undecided(self, digest: bytes) -> bool:
         now_s = self._clock()
-        unsettled = self._broken.unsettled(digest, now_s)
-        return bool(unsettled) and self.ledger.ends(digest, now_s) + unsettled >= MOST_ENDS_IN_A_TRY
+        unsettled = self._broken.count_unconfirmed(digest, now_s)
+        return bool(unsettled) and self.ledger.crash_count(digest, now_s) + unsettled >= MOST_ENDS_IN_A_TRY
 
     def may_run(self, digest: bytes) -> bool:
         """Whether a request may be sent now; a suspect may not while a run of it is under way."""
@@ -99,7 +99,7 @@
         """Return the ids of the replicas that a request may not be sent to now."""
         if self.ends(digest) < ENDS_TO_RUN_ALONE:
             return set()
-        taken = self._runs.taken(self._clock())
+        taken = self._runs.exclusive_incarnations(self._clock())
         return {replica.replica_id for replica in replicas if replica.order_hash in taken}
 
     # A run
@@ -111,21 +111,21 @@
             return
         run = SuspectRun(replica.order_hash, ends_s, ends >= ENDS_TO_RUN_ALONE)
         self._runs.begin(self._daemon_id, digest, run)
-        if run.alone:
+        if run.is_exclusive:
             self.on_run(digest, run)
 
     def end(self, digest: bytes) -> None:
         """The run is over, however it ended."""
         run = self._runs.end(self._daemon_id, digest)
-        if run is not None and run.alone:
+        if run is not None and run.is_exclusive:
             self.on_run(digest, None)
 
     def note_outlived(self, digest: bytes) -> None:
         """A replica has answered a request whole, and so outlived it."""
         now_s = self._clock()
-        self.ledger.note_ended_well(digest, now_s)
+        self.ledger.record_success(digest, now_s)
         self._broken.clear(digest)
-        ends = self.ledger.ends(digest, now_s)
+        ends = self.ledger.crash_count(digest, now_s)
         if self.ledger.clear(digest):
             self.on_cleared(digest, ends)
             if self.records.revision(place_key(digest)):
@@ -133,7 +133,7 @@
 
     def note_broken(self, replica: RelayReplica, digest: bytes, *, silent: bool) -> None:
         """The connection of a run broke before its answer was whole."""
-        self._broken.note(replica.order_hash, digest, self._clock(), silent=silent)
+        self._broken.record(replica.order_hash, digest, self._clock(), silent=silent)
         if not silent:
             self.on_break(replica)
 
@@ -141,12 +141,12 @@
 
     def note_reached(self, replica: RelayReplica, asked_s: float) -> None:
         """A new connection to a replica's address came up, asked for at that time."""
-        self._broken.note_reached(replica.order_hash, asked_s)
+        self._broken.mark_reached(replica.order_hash, asked_s)
 
-    def note_ended(self, replica: RelayReplica, evidence: EndEvidence) -> None:
+    def note_ended(self, replica: RelayReplica, evidence: CrashEvidence) -> None:
         """An incarnation has ended: whatever this daemon had running there is suspected."""
         incarnation = replica.order_hash
-        digests = self._broken.settle(incarnation, evidence, self._clock())
+        digests = self._broken.pop_crashed(incarnation, evidence, self._clock())
         if not digests:
             return
         log_event(
@@ -178,10 +178,10 @@
         now_s = self._clock()
         if digest is None or not self.ledger.is_refused(digest, now_s):
             return unread
-        if self.ledger.ended_well_lately(digest, now_s):
+        if self.ledger.succeeded_recently(digest, now_s):
             # Refused by a daemon that had not heard of it yet.
             self.ledger.clear(digest)
-            self.on_cleared(digest, ENDS_TO_REFUSE)
+            self.on_cleared(digest, CRASHES_TO_REFUSE)
             self.on_record(digest, own=True)
         return unread
 
@@ -209,16 +209,16 @@
     def _note_ends(self, incarnation: int, digests: Iterable[bytes], *, own: bool) -> None:
         now_s = self._clock()
         for digest in digests:
-            if not self.ledger.note_end(digest, incarnation, now_s):
+            if not self.ledger.record_crash(digest, incarnation, now_s):
                 continue
-            ends = self.ledger.ends(digest, now_s)
-            if self.ledger.ended_well_lately(digest, now_s):
+            ends = self.ledger.crash_count(digest, now_s)
+            if self.ledger.succeeded_recently(digest, now_s):
                 self.ledger.clear(digest)
                 self.on_cleared(digest, ends)
                 continue
             if ends >= ENDS_TO_RUN_ALONE:
                 log_event("request_suspected", "WARNING", digest=digest.hex(), ends=ends, own=own)
-            if ends >= ENDS_TO_REFUSE and not self.ledger.is_refused(digest, now_s):
+            if ends >= CRASHES_TO_REFUSE and not self.ledger.is_refused(digest, now_s):
                 self._refuse(digest, own=own)
 
     def _refuse(self, digest: bytes, *, own: bool) -> None:
--- a/winchfork/router/document_installer.py
+++ b/winchfork/router/document_installer.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from winchfork.core.broken_runs import EndEvidence
+from winchfork.core.broken_runs import CrashEvidence
 from winchfork.core.document_table import TableItem
 from winchfork.core.relay_replica import ReplicaListing
 from winchfork.core.routing import RoutingTable
@@ -98,7 +98,7 @@
 
     def _install_refusal(self, item: TableItem) -> None:
         crashes = self._state.crashes
-        if item.value is None and item.vanished:
+        if item.value is None and item.missing_after_outage:
             crashes.note_lost_record(item.key)
             return
         unread = crashes.take_record(
@@ -110,7 +110,7 @@
     def _install_record(self, item: TableItem) -> None:
         software = self._state.software
         if item.value is None:
-            if item.vanished:
+            if item.missing_after_outage:
                 software.note_lost(service_of(item.key))
             return
         record = read_record(item.value)
@@ -125,7 +125,7 @@
         """Remove a replica; one that only vanished during an outage is kept for a while."""
         self._restored.forget(replica_id)
         replica = self._state.fleet.get(replica_id)
-        if item.vanished and replica is not None and replica.wants_work:
+        if item.missing_after_outage and replica is not None and replica.wants_work:
             self._state.vanished.setdefault(replica_id, self._state.clock() + RETURN_S)
         else:
             self._remove_replica(replica_id, item.revision)
@@ -167,7 +167,7 @@
             )
             return
         if known is not None and listing.is_restart_of(known.listing):
-            self._remove_replica(listing.replica_id, revision, EndEvidence.REPLACED)
+            self._remove_replica(listing.replica_id, revision, CrashEvidence.REPLACED)
             known = None
         changed = known is None or known.listing != listing
         self._state.install_listing(listing)
@@ -189,7 +189,7 @@
         self,
         replica_id: str,
         revision: int,
-        evidence: EndEvidence | None = EndEvidence.ENTRY_LAPSED,
+        evidence: CrashEvidence | None = CrashEvidence.ENTRY_LAPSED,
     ) -> None:
         """Forget a replica; ``evidence`` is what its going shows of its end, if anything."""
         removed = self._state.fleet.remove(replica_id)
--- a/winchfork/router/document_relay.py
+++ b/winchfork/router/document_relay.py
@@ -16,7 +16,7 @@
 from winchfork.core.document_table import DocumentTable, TableUpdate
 from winchfork.core.member import Member
 from winchfork.core.store_position import StorePosition
-from winchfork.core.zone_hubs import SPEAKERS_PER_REGION
+from winchfork.core.zone_hubs import HUBS_PER_REGION
 from winchfork.errors import Failure
 from winchfork.logs import log_event
 from winchfork.router.document_parts import PartCollector, split_update
@@ -75,7 +75,7 @@
     @property
     def feeds_others(self) -> bool:
         """Whether daemons of this zone rely on this one."""
-        return not self._peers.view.direct and self._peers.view.is_hub
+        return not self._peers.view.is_full_mesh and self._peers.view.is_hub
 
     @property
     def informed(self) -> bool:
@@ -93,7 +93,7 @@
         A leader's renewals, orders and writes are calls to the store, or to replicas beside it.
         """
         view = self._peers.view
-        return view.direct or (view.is_hub and view.is_near_store) or not self.informed
+        return view.is_full_mesh or (view.is_hub and view.is_near_store) or not self.informed
 
     def push(self, update: TableUpdate) -> None:
         """Tell other hubs and the daemons of this zone what the store has said; hubs alone do.
@@ -105,14 +105,14 @@
         own_id = view.own.member_id
         watcher_ids = [watcher.member_id for watcher in view.watchers]
         turn = watcher_ids.index(own_id) if own_id in watcher_ids else 0
-        told = view.far_speakers[turn % SPEAKERS_PER_REGION :: SPEAKERS_PER_REGION]
-        self._send(update, (*view.near_hubs, *told, *view.zone_others))
+        told = view.other_region_hubs[turn % HUBS_PER_REGION :: HUBS_PER_REGION]
+        self._send(update, (*view.same_region_hubs, *told, *view.zone_peers))
 
     def _pass_on(self, update: TableUpdate, sender_id: str) -> None:
         """Tell this zone what another hub has told, and this region what another region has."""
         view = self._peers.view
-        region_hubs = view.near_hubs if view.is_far_daemon(sender_id) else ()
-        self._send(update, (*region_hubs, *view.zone_others))
+        region_hubs = view.same_region_hubs if view.is_in_other_region(sender_id) else ()
+        self._send(update, (*region_hubs, *view.zone_peers))
 
     def _send(self, update: TableUpdate, receivers: Sequence[Member]) -> None:
         if not self.feeds_others or not update.items:
--- a/winchfork/router/evidence_exchange.py
+++ b/winchfork/router/evidence_exchange.py
@@ -140,10 +140,10 @@
         if _answers(message.notes) >= _answers(known):
             heard.zones[message.zone] = message.notes
         view = self._peers.view
-        if view.is_speaker and view.is_far_daemon(message.sender_id):
+        if view.is_region_hub and view.is_in_other_region(message.sender_id):
             own_id = view.own.member_id
             relayed = msgspec.structs.replace(message, sender_id=own_id)
-            self._peers.send_each((*view.near_hubs, *view.other_own_hubs), relayed)
+            self._peers.send_each((*view.same_region_hubs, *view.own_hub_peers), relayed)
 
     def take_stop(self, message: VersionStop) -> None:
         """Send a version nothing more that another daemon has found bad."""
@@ -155,7 +155,7 @@
 
     @property
     def _judges(self) -> bool:
-        return self._peers.view.direct or self._peers.view.is_hub
+        return self._peers.view.is_full_mesh or self._peers.view.is_hub
 
     def _about(self, service: str, order_revision: int) -> _Heard:
         heard = self._heard.get(service)
@@ -182,7 +182,7 @@
             return
         heard.told, heard.told_s = notes, now_s
         view = self._peers.view
-        receivers = view.others if view.direct else view.other_own_hubs
+        receivers = view.others if view.is_full_mesh else view.own_hub_peers
         message = VersionEvidence(
             own_id, self._state.life, "", service, heard.order_revision, notes
         )
@@ -190,7 +190,7 @@
 
     def _tell_zone(self, service: str, heard: _Heard, now_s: float) -> None:
         view = self._peers.view
-        if view.direct:
+        if view.is_full_mesh:
             return
         notes = _add_up(heard.daemons.values())
         if not notes or not _is_due(notes, heard.zone_told, now_s - heard.zone_told_s):
@@ -200,7 +200,7 @@
         message = VersionEvidence(
             settings.node_id, 0, settings.zone, service, heard.order_revision, notes
         )
-        receivers = (*view.near_hubs, *view.far_speakers)
+        receivers = (*view.same_region_hubs, *view.other_region_hubs)
         self._peers.send_each((*receivers, *self._leader_beside(receivers)), message)
 
     def _leader_beside(self, receivers: Iterable[Member]) -> list[Member]:
--- a/winchfork/router/leader_entry.py
+++ b/winchfork/router/leader_entry.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from winchfork.core.fence_book import FenceBook
+from winchfork.core.fence_registry import FenceRegistry
 from winchfork.core.store_position import StorePosition
 from winchfork.errors import Failure
 from winchfork.logs import log_event
@@ -27,12 +27,12 @@
     def __init__(self, store: AsyncKeyValueStore, own_id: str) -> None:
         self._store = store
         self._own_value = own_id.encode()
-        self.fences = FenceBook()
+        self.fences = FenceRegistry()
 
     def note_fence(self, position: StorePosition, value: bytes) -> None:
         """Take in what was recorded at a position; anything but a number means nothing."""
         if value.isdigit() and len(value) <= _MOST_FENCE_DIGITS:
-            self.fences.note_record(position, int(value))
+            self.fences.record_fence(position, int(value))
 
     async def write(
         self, lease: StoreLease, expected: int, heard: StorePosition
@@ -43,7 +43,7 @@
         """
         puts = []
         is_of_era = heard.era == lease.era
-        fence = self.fences.to_record(heard if is_of_era else StorePosition(lease.era))
+        fence = self.fences.fence_to_record(heard if is_of_era else StorePosition(lease.era))
         if fence is not None:
             puts.append(PutItem(FENCE_KEY, str(fence).encode()))
         # Last: where each entry of a transaction has a revision of its own, the answer names this.
@@ -54,7 +54,7 @@
             log_event("leadership_not_taken", reason=str(taken))
             return taken
         if fence is not None:
-            self.fences.note_record(taken, fence)
+            self.fences.record_fence(taken, fence)
         return taken
 
     async def find_replaceable(self) -> int | Failure | None:
@@ -73,4 +73,4 @@
             return 0
         position = StorePosition(snapshot.at.era, entries[0].revision)
         is_own = entries[0].value == self._own_value
-        return position.revision if is_own or self.fences.came_back(position) else None
+        return position.revision if is_own or self.fences.is_restored(position) else None
--- a/winchfork/router/leadership.py
+++ b/winchfork/router/leadership.py
@@ -1,7 +1,7 @@
 """A leased, fenced leadership held by at most one router process at a time.
 
 The store keeps one entry under a lease; its revision is the fence, which rises with every change of
-holder (:mod:`winchfork.core.fence_book` over the store's returns from copies). A holder acts only
+holder (:mod:`winchfork.core.fence_registry` over the store's returns from copies). A holder acts only
 within ``ACT_S`` of the start of its last renewal, by its own monotonic clock, and the lease
 outlives that. A new holder waits until orders of the one before it are at least the deployment's
 lease bound old: the time that the lease outlived the other's last possible order already counts.
@@ -95,7 +95,7 @@
             self._is_copy and position == self._heard
         )
         self._hear(position, vacant=False)
-        self._fences.note_entry(position)
+        self._fences.record_entry(position)
         if position != self._holder:
             self._holder = position
             self._resigned_order_s = None
@@ -134,7 +134,7 @@
         if fence != self.fence or not self.may_act():
             return
         log_event("fence_refused", "WARNING", fence=fence)
-        self._fences.note_refused(fence)
+        self._fences.record_refusal(fence)
         self._reclaim("a replica has seen a higher fence")
 
     def note_order(self) -> None:
@@ -265,7 +265,7 @@
         self._valid_until_s = asked_s + ACT_S
         self._acts_from_s = self._clock() + acts_in_s
         self._holder = taken
-        self._fences.note_entry(taken)
+        self._fences.record_entry(taken)
         self.fence = self._fences.fence_of(taken)
         self._is_copy = False
         self._resigned_order_s = None
--- a/winchfork/router/limit_book.py
+++ b/winchfork/router/limit_book.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from winchfork.core.hearsay import Hearsay
+from winchfork.core.peer_reports import PeerReports
 from winchfork.core.relay_replica import RelayReplica
 from winchfork.core.rendezvous import rendezvous_rank
 from winchfork.core.request_limit import SETTLE_S, LimitChange, LimitOrder
@@ -35,7 +35,7 @@
         #: The daemons that share limits, with their zones, and when they last changed.
         self._daemons: Mapping[str, str] = {state.settings.node_id: state.settings.zone}
         self._changed_s = -math.inf
-        self._hearsay = Hearsay()
+        self._hearsay = PeerReports()
         #: Replicas that have named a limit, by incarnation; some may have ended it, or be gone.
         self._named: dict[int, RelayReplica] = {}
         #: Told of each limit that one of this daemon's own answers began, changed or ended, and of
@@ -102,7 +102,7 @@
         service = replica.listing.service
         heeded = {item.order_hash for item in self.limited(service)}
         replicas = len(self._state.fleet.of_service(service))
-        return self._hearsay.counts(replica.order_hash, sender_id, heeded, replicas)
+        return self._hearsay.accept(replica.order_hash, sender_id, heeded, replicas)
 
     # Who may send
 
--- a/winchfork/router/notice_book.py
+++ b/winchfork/router/notice_book.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from winchfork.core.hearsay import Hearsay
+from winchfork.core.peer_reports import PeerReports
 from winchfork.core.relay_replica import RelayReplica
 from winchfork.core.replica_notice import AnswerNotice, NoticeChange, ToldPause
 from winchfork.logs import log_event
@@ -28,7 +28,7 @@
         self._state = state
         self._unreadable = LineLimit()
         self._unknown = UnknownHeaders(state.metrics.unknown_words, MOST_UNKNOWN_WORDS)
-        self._hearsay = Hearsay()
+        self._hearsay = PeerReports()
         #: Told of each replica that has said to this daemon that it drains or wants a pause.
         self.on_heard: Callable[[RelayReplica], None] = lambda replica: None
         #: Seconds since 1970, by which replicas date their starts.
@@ -74,7 +74,7 @@
         now_s = self._state.clock()
         service = self._state.fleet.of_service(replica.listing.service)
         heeded = {item.order_hash for item in service if item.notice.opens_in_s(now_s) > 0.0}
-        if not self._hearsay.counts(replica.order_hash, sender_id, heeded, len(service)):
+        if not self._hearsay.accept(replica.order_hash, sender_id, heeded, len(service)):
             return
         if replica.notice.heed_peer(told, now_s):
             log_event(
--- a/winchfork/router/peer_messages.py
+++ b/winchfork/router/peer_messages.py
@@ -4,7 +4,7 @@
 
 from winchfork.core.member import IndirectProbe, Probe, ProbeReply
 from winchfork.core.peer_message import PeerMessage
-from winchfork.core.quota_book import QuotaLevels, QuotaReport
+from winchfork.core.quota_ledger import QuotaLevels, QuotaReport
 from winchfork.core.software_state import StopCause
 
 
