--- a/winchfork/router/peers.py
+++ b/winchfork/router/peers.py
@@ -180,24 +180,24 @@
             return
         for receiver in receivers:
             self._send_datagram(receiver.peer_address, data)
-            if self._view.regions.is_far(self._view.own.zone, receiver.zone):
+            if self._view.regions.is_cross_region(self._view.own.zone, receiver.zone):
                 self.far_bytes += len(data)
 
     def tell_everyone(self, message: Any) -> None:
         """Send one message to every other daemon."""
         view = self._view
-        if view.direct:
+        if view.is_full_mesh:
             self.send_each(view.others, message)
             return
         data = self._codec.encode(message)
         if isinstance(data, Failure):
             return
         if view.is_hub:
-            self.send_each(view.zone_others, message)
+            self.send_each(view.zone_peers, message)
         else:
             self.send_each(view.own_hubs, Forward(data))
-        self.send_each(view.near_hubs, Forward(data))
-        self.send_each(view.far_speakers, Forward(data, whole_region=True))
+        self.send_each(view.same_region_hubs, Forward(data))
+        self.send_each(view.other_region_hubs, Forward(data, whole_region=True))
 
     # asyncio.DatagramProtocol
 
@@ -233,7 +233,7 @@
 
     @property
     def _tick_period_s(self) -> float:
-        return HUB_TICK_PERIOD_S if self._view.is_hub and not self._view.direct else TICK_PERIOD_S
+        return HUB_TICK_PERIOD_S if self._view.is_hub and not self._view.is_full_mesh else TICK_PERIOD_S
 
     @property
     def _informant_period_s(self) -> float:
@@ -241,21 +241,21 @@
 
     def _look_around(self) -> None:
         """Renew the view of the fleet when a member has changed."""
-        if self._view_changes == self._membership.changes:
+        if self._view_changes == self._membership.change_count:
             return
-        self._view_changes = self._membership.changes
+        self._view_changes = self._membership.change_count
         members = self._membership.members()
         self._view = FleetView.of(self._membership.own, members, self._state.settings.regions)
         self._state.daemons = len(members) + _SPARE_DAEMONS
         # In a large fleet only the few are asked that keep a daemon informed.
         most = len(self._view.others) // 2 + 1
-        self._state.store_outage.peers_needed = most if self._view.direct else 1
+        self._state.store_outage.peers_needed = most if self._view.is_full_mesh else 1
 
     def _tell_store_delay(self) -> None:
         """Announce once how far the store is, so that the daemons near it watch it and lead."""
         delay_s = self.store_delay_s()
         if delay_s is not None and not self._membership.own.store_delay_ms:
-            self._membership.tell_store_delay(max(1, round(delay_s * 1000)))
+            self._membership.announce_store_delay(max(1, round(delay_s * 1000)))
 
     def _probe_informant(self, now_s: float) -> None:
         """Ask how current one of those is that keep this daemon informed.
@@ -264,11 +264,11 @@
         whether it answers others.
         """
         view = self._view
-        if view.direct:
+        if view.is_full_mesh:
             if self._state.store_outage.is_suspected:
                 self._send_all([self._membership.probe(peer, now_s) for peer in view.others])
-        elif view.informants:
-            informant = self._generator.choice(view.informants)
+        elif view.proof_sources:
+            informant = self._generator.choice(view.proof_sources)
             self._send_all([self._membership.probe(informant, now_s)])
 
     def _take_membership(self, message: MembershipMessage) -> None:
@@ -287,9 +287,9 @@
             return
         if message.whole_region:
             self.send_each(
-                (*self._view.near_hubs, *self._view.other_own_hubs), Forward(message.datagram)
+                (*self._view.same_region_hubs, *self._view.own_hub_peers), Forward(message.datagram)
             )
-        for member in self._view.zone_others:
+        for member in self._view.zone_peers:
             self._send_datagram(member.peer_address, message.datagram)
         handler = self._handlers.get(type(inner))
         if handler is not None:
@@ -324,14 +324,14 @@
         the peer is not left in an era that is over.
         """
         settings = self._state.settings
-        if settings.regions.is_far(settings.zone, sender.zone):
-            self._state.region_delay.note_reply(self._loop.time() - asked_s)
+        if settings.regions.is_cross_region(settings.zone, sender.zone):
+            self._state.region_delay.record_reply(self._loop.time() - asked_s)
         if len(revisions) not in (2, 3):
             return
         position = StorePosition(revisions[2] if len(revisions) == 3 else 0, revisions[0])
         proven_s = asked_s - revisions[1] / 1000.0
         now_s = self._loop.time()
-        self._state.store_outage.note_peer(sender.member_id, proven_s, asked_s, now_s)
+        self._state.store_outage.record_peer_reply(sender.member_id, proven_s, asked_s, now_s)
         self._state.eras.note(position.era, told_by=sender.member_id)
         if position > self._state.store_position:
             self.on_position(sender.peer_address, position)
--- a/winchfork/router/process.py
+++ b/winchfork/router/process.py
@@ -195,8 +195,8 @@
         show("parts_believed", "Parts believed to be kept.", lambda: len(state.parts))
         show("daemons", "Daemons that budgets are shared among.", lambda: state.daemons)
         ledger = state.crashes.ledger
-        show("requests_suspected", "Requests under which replicas ended.", lambda: ledger.suspected)
-        show("requests_barred", "Requests refused as they end replicas.", lambda: ledger.refused)
+        show("requests_suspected", "Requests under which replicas ended.", lambda: ledger.suspected_count)
+        show("requests_barred", "Requests refused as they end replicas.", lambda: ledger.refused_count)
         show(
             "store_revision",
             "Everything before it is known.",
@@ -216,7 +216,7 @@
         show(
             "quota_coverage",
             "Share of the quotas counted on.",
-            lambda: state.quotas.supply.coverage,
+            lambda: state.quotas.refill_share.coverage,
         )
         state.metrics.software_shares = state.software.shares
         state.metrics.replica_limits = state.limits.known
@@ -235,7 +235,7 @@
             "Bytes sent to peers in other regions.",
             lambda: self._peers.far_bytes,
         )
-        state.metrics.quota_left = lambda: state.quotas.left(state.clock())
+        state.metrics.quota_left = lambda: state.quotas.remaining(state.clock())
         counters = self._pool.counters
         show("connections_opened", "Connections to replicas.", lambda: counters.opened)
         show("connections_failed", "Connections that did not come up.", lambda: counters.failed)
--- a/winchfork/router/quota_exchange.py
+++ b/winchfork/router/quota_exchange.py
@@ -9,15 +9,15 @@
 from __future__ import annotations
 
 from winchfork.core.member import MemberStatus
-from winchfork.core.quota_book import (
-    TOLD_AGAIN_S,
-    QuotaBook,
+from winchfork.core.quota_ledger import (
+    RESEND_WINDOW_S,
+    QuotaLedger,
     QuotaLevels,
     QuotaReport,
-    UseReader,
-    UseTotals,
+    UsageReceiver,
+    UsageTotals,
 )
-from winchfork.core.tenant_quota import Supply
+from winchfork.core.tenant_quota import RefillShare
 from winchfork.core.zone_hubs import FleetView
 from winchfork.router.peer_port import PeerPort
 from winchfork.router.settings import RouterBounds
@@ -65,13 +65,13 @@
         self._has_other_seeds = any(
             seed.rpartition(":")[0] != own_ip for seed in state.settings.seeds
         )
-        self._reader = UseReader()
-        self._zone_use = UseTotals(state.life)
+        self._reader = UsageReceiver()
+        self._zone_use = UsageTotals(state.life)
         #: This daemon's last report that its zone's totals lack.
         self._own_told: QuotaReport | None = None
         #: When each daemon was last seen to work, by id, and its zone.
         self._seen: dict[str, tuple[float, str]] = {}
-        self._zone_reader = UseReader()
+        self._zone_reader = UsageReceiver()
         #: The hub that speaks for each other zone, and when it was last heard.
         self._speakers: dict[str, tuple[str, float]] = {}
         self._daemon_heard_s: dict[str, float] = {}
@@ -83,14 +83,14 @@
         self._knows_better = False
 
     @property
-    def _book(self) -> QuotaBook:
+    def _book(self) -> QuotaLedger:
         return self._state.quotas
 
     # Telling
 
     def own_report(self, now_s: float) -> QuotaReport | None:
         """Return what this daemon has used lately."""
-        report = self._book.own.report(now_s)
+        report = self._book.own_usage.report(now_s)
         self._own_told = report or self._own_told
         return report
 
@@ -103,7 +103,7 @@
 
     def levels(self, now_s: float, *, complete: bool) -> QuotaLevels:
         """Return this daemon's estimates."""
-        coverage_percent = round(self._book.supply.coverage * 100)
+        coverage_percent = round(self._book.refill_share.coverage * 100)
         levels = self._book.levels(now_s, complete=complete)
         return QuotaLevels(coverage_percent, complete, self._is_guessing, levels)
 
@@ -125,7 +125,7 @@
             self._take_levels(correction, now_s)
         self._daemon_heard_s[sender_id] = now_s
         if report is not None:
-            self._book.add_others(self._count_for_zone(sender_id, report, now_s), now_s)
+            self._book.add_remote_usage(self._count_for_zone(sender_id, report, now_s), now_s)
 
     def take_zone(
         self, sender_id: str, zone: str, report: QuotaReport | None, levels: QuotaLevels | None
@@ -142,9 +142,9 @@
             self._speakers[zone] = (sender_id, now_s)
             speaker_id = sender_id
         if report is not None:
-            untold = min(1.0, silent_s / TOLD_AGAIN_S)
-            news = self._zone_reader.read(sender_id, report, untold)
-            self._book.add_others(news if sender_id == speaker_id else {}, now_s, silent_s)
+            untold = min(1.0, silent_s / RESEND_WINDOW_S)
+            news = self._zone_reader.receive(sender_id, report, untold)
+            self._book.add_remote_usage(news if sender_id == speaker_id else {}, now_s, silent_s)
         if levels is not None:
             self._take_levels(levels, now_s)
 
@@ -155,7 +155,7 @@
         if self._peers.view.is_hub:
             self._take_levels(levels, now_s)
             return
-        self._book.count_on(Supply(levels.coverage_percent / 100.0), now_s)
+        self._book.set_refill_share(RefillShare(levels.coverage_percent / 100.0), now_s)
         self._knows_better = levels.is_guess and not self._is_guessing
         if not self._knows_better:
             self._book.replace(levels, now_s)
@@ -174,7 +174,7 @@
     def _count_for_zone(
         self, sender_id: str, report: QuotaReport, now_s: float
     ) -> dict[int, float]:
-        news = self._reader.read(sender_id, report)
+        news = self._reader.receive(sender_id, report)
         for key, cost in news.items():
             self._zone_use.add(key, cost, now_s)
         return news
@@ -187,40 +187,40 @@
         self._look_around(view, now_s)
         if now_s - self._started_s > SETTLING_S:
             self._is_guessing = False
-        self._book.count_on(self._supply(view, now_s), now_s)
+        self._book.set_refill_share(self._supply(view, now_s), now_s)
 
-    def _supply(self, view: FleetView, now_s: float) -> Supply:
+    def _supply(self, view: FleetView, now_s: float) -> RefillShare:
         known = len(self._seen)
         if known <= 1 and self._has_other_seeds:
-            return Supply(0.0, ISOLATED_SHARE / ASSUMED_DAEMONS, is_alone=True)
+            return RefillShare(0.0, ISOLATED_SHARE / ASSUMED_DAEMONS, is_isolated=True)
         own_share = 1.0 / max(1, known)
         own_zone = self._state.settings.zone
-        alone = Supply(0.0, ISOLATED_SHARE * own_share, is_alone=True)
-        waiting = Supply(0.0, ISOLATED_SHARE * own_share)
+        alone = RefillShare(0.0, ISOLATED_SHARE * own_share, is_isolated=True)
+        waiting = RefillShare(0.0, ISOLATED_SHARE * own_share)
         if self._is_settling(view, now_s):
-            return Supply(own_share)
-        if view.direct or view.is_hub:
+            return RefillShare(own_share)
+        if view.is_full_mesh or view.is_hub:
             missing = sum(1 for key in self._seen if not self._is_heard(key, now_s))
-            if not view.direct and self._is_deaf(view, now_s):
+            if not view.is_full_mesh and self._is_deaf(view, now_s):
                 missing = sum(1 for _, zone in self._seen.values() if zone != own_zone)
             if missing >= known - 1 > 0:
                 return alone
-            if view.direct and self._is_deaf(view, now_s):
+            if view.is_full_mesh and self._is_deaf(view, now_s):
                 return waiting
-            return Supply(1.0 - missing / known)
+            return RefillShare(1.0 - missing / known)
         word_age_s = now_s - (self._hub_heard_s or self._started_s)
         if word_age_s > SILENCE_S:
             return alone
-        return self._book.supply if word_age_s <= WORD_HOLDS_S else waiting
+        return self._book.refill_share if word_age_s <= WORD_HOLDS_S else waiting
 
     def _is_settling(self, view: FleetView, now_s: float) -> bool:
         """Whether this daemon is too young to know the fleet, and knows no level from a hub."""
         age_s = now_s - self._started_s
-        if view.direct and len(view.members) > 1:
+        if view.is_full_mesh and len(view.members) > 1:
             return age_s <= SMALL_SETTLING_S
         if self._hub_heard_s is not None or age_s > SETTLING_S:
             return False
-        return view.direct or not view.is_hub or age_s <= HUB_SETTLING_S
+        return view.is_full_mesh or not view.is_hub or age_s <= HUB_SETTLING_S
 
     def _look_around(self, view: FleetView, now_s: float) -> None:
         for member in view.members:
@@ -236,7 +236,7 @@
         A zone whose hubs hear no other then counts on its own part of the limits: others count on
         the whole for half a second longer, which the tolerance of the limits bears.
         """
-        if view.direct:
+        if view.is_full_mesh:
             heard = list(self._daemon_heard_s.values())
         else:
             heard = [heard_s for _, heard_s in self._speakers.values()]
@@ -249,7 +249,7 @@
             return False
         if member_id == self._state.settings.node_id:
             return True
-        if self._peers.view.direct:
+        if self._peers.view.is_full_mesh:
             return now_s - self._daemon_heard_s.get(member_id, self._started_s) <= SILENCE_S
         if zone == self._state.settings.zone:
             return True
--- a/winchfork/router/quota_gate.py
+++ b/winchfork/router/quota_gate.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from winchfork.core.quota_book import QuotaBook
+from winchfork.core.quota_ledger import QuotaLedger
 from winchfork.core.routing import TenantPolicy
 from winchfork.errors import Failure, FailureKind
 from winchfork.router.metrics import RouterMetrics
@@ -14,7 +14,7 @@
     """What one admitted request has used of its tenant's quota."""
 
     def __init__(
-        self, book: QuotaBook, clock: Callable[[], float], tenant: str, cost: float
+        self, book: QuotaLedger, clock: Callable[[], float], tenant: str, cost: float
     ) -> None:
         self._book = book
         self._clock = clock
@@ -33,7 +33,7 @@
 class QuotaGate:
     """Lets requests through, or says when to come back."""
 
-    def __init__(self, book: QuotaBook, clock: Callable[[], float], metrics: RouterMetrics) -> None:
+    def __init__(self, book: QuotaLedger, clock: Callable[[], float], metrics: RouterMetrics) -> None:
         self._book = book
         self._clock = clock
         self._metrics = metrics
@@ -45,15 +45,15 @@
         if tenant is None or tenant.limit is None:
             return None
         cost = tenant.limit.cost(declared_tokens)
-        refusal = self._book.take(tenant.name, cost, self._clock())
+        refusal = self._book.try_acquire(tenant.name, cost, self._clock())
         if refusal is None:
             self._metrics.quota_used.labels(tenant.name).inc(round(cost))
             return QuotaCharge(self._book, self._clock, tenant.name, cost)
         self._metrics.quota_refused.labels(tenant.name).inc(round(cost))
         unit = tenant.limit.unit.value
-        coverage = self._book.supply.coverage
+        coverage = self._book.refill_share.coverage
         return FailureKind.QUOTA_EXCEEDED.because(
-            f"tenant {tenant.name} has {refusal.left:.0f} {unit} left of its quota of "
+            f"tenant {tenant.name} has {refusal.remaining:.0f} {unit} left of its quota of "
             f"{tenant.limit.rate_per_s:.0f} a second, counted over {coverage:.0%} of "
             f"the fleet; this request counts as {cost:.0f}",
             remedy="come back after the time told, or ask the operators for a higher limit",
--- a/winchfork/router/refusal_records.py
+++ b/winchfork/router/refusal_records.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from winchfork.core.crash_ledger import REFUSAL_S, CrashLedger
+from winchfork.core.crash_history import REPEATED_REFUSAL_S, CrashHistory
 from winchfork.core.request_digest import DIGEST_BYTES
 from winchfork.errors import Failure, FailureKind
 from winchfork.logs import log_event
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        ledger: CrashLedger,
+        ledger: CrashHistory,
         clock: Callable[[], float],
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
@@ -133,7 +133,7 @@
     def _take_refusal(self, record: RefusalRecord) -> None:
         for_s = self._ledger.refusal_s(record.times)
         age_s = max(0.0, self._wall_clock() - record.refused_ms / 1000.0)
-        if age_s > for_s + REFUSAL_S or record.times < self._ledger.times_refused(record.digest):
+        if age_s > for_s + REPEATED_REFUSAL_S or record.times < self._ledger.times_refused(record.digest):
             return
         now_s = self._clock()
         if age_s < for_s and not self._ledger.is_refused(record.digest, now_s):
--- a/winchfork/router/region_exchange.py
+++ b/winchfork/router/region_exchange.py
@@ -53,9 +53,9 @@
     def note_zone(self, message: ZoneWork) -> None:
         """Keep what a zone of this region has used of the quotas, and that its hub lives."""
         view = self._peers.view
-        if view.speakers and message.sender_id == view.speakers[0].member_id:
+        if view.region_hubs and message.sender_id == view.region_hubs[0].member_id:
             self._first_speaker_heard_s = self._state.clock()
-        if not view.is_speaker or not view.far_speakers:
+        if not view.is_region_hub or not view.other_region_hubs:
             return
         if message.quota is not None or message.levels is not None:
             use = ZoneUse(message.sender_id, message.zone, message.quota, message.levels)
@@ -67,7 +67,7 @@
         ``region_loads`` adds up the work of the region.
         """
         view = self._peers.view
-        if not view.far_speakers or now_s - self._told_s < TELL_PERIOD_S:
+        if not view.other_region_hubs or now_s - self._told_s < TELL_PERIOD_S:
             return
         if not self._speaks(view, now_s):
             return
@@ -82,12 +82,12 @@
         own_id = self._state.settings.node_id
         region = view.regions.region_of(view.own.zone)
         message = RegionWork(own_id, region, complete, loads, uses)
-        self._peers.send_each(view.far_speakers, message)
+        self._peers.send_each(view.other_region_hubs, message)
 
     def _speaks(self, view: FleetView, now_s: float) -> bool:
-        if not view.is_speaker:
+        if not view.is_region_hub:
             return False
-        first = view.speakers[0].member_id == view.own.member_id
+        first = view.region_hubs[0].member_id == view.own.member_id
         return first or now_s - self._first_speaker_heard_s > SPEAKER_SILENCE_S
 
     # Hearing
@@ -98,9 +98,9 @@
         view = self._peers.view
         if message.region == view.regions.region_of(view.own.zone):
             return
-        if view.is_speaker and view.is_far_daemon(message.sender_id):
+        if view.is_region_hub and view.is_in_other_region(message.sender_id):
             relayed = msgspec.structs.replace(message, sender_id=view.own.member_id)
-            self._peers.send_each((*view.near_hubs, *view.other_own_hubs), relayed)
+            self._peers.send_each((*view.same_region_hubs, *view.own_hub_peers), relayed)
         known = self._regions.setdefault(message.region, HeardByReplica())
         known.take(message.loads, now_s, complete=message.complete)
         for use in message.uses:
--- a/winchfork/router/relayed_request.py
+++ b/winchfork/router/relayed_request.py
@@ -10,7 +10,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from winchfork.core.broken_runs import EndEvidence
+from winchfork.core.broken_runs import CrashEvidence
 from winchfork.core.placement_request import RelayDecision
 from winchfork.core.relay_replica import RelayReplica
 from winchfork.errors import Failure, FailureKind, RunState
@@ -121,7 +121,7 @@
     async def run(self) -> None:
         """Serve the request; never raises."""
         timer = self._loop.call_at(self._repeats.ends_at_s, self._inbox.put, TimeLimit(DEADLINE))
-        self._state.budget.note_request(self._backend, self._loop.time())
+        self._state.budget.record_request(self._backend, self._loop.time())
         try:
             await self._serve()
         except Exception as error:  # noqa: BLE001 - one request's surprise must not end the others
@@ -217,7 +217,7 @@
 
     def _unreached(self, replica: RelayReplica, failure: Failure) -> NotRun:
         if failure.kind is FailureKind.CONNECTION_REFUSED:
-            self._crashes.note_ended(replica, EndEvidence.PORT_CLOSED)
+            self._crashes.note_ended(replica, CrashEvidence.PORT_CLOSED)
         if failure.kind in _UNREACHED:
             self._state.note_failure(replica, failure.reason, certain=True)
         return NotRun(failure.reason, sent=False)
--- a/winchfork/router/repeats.py
+++ b/winchfork/router/repeats.py
@@ -68,6 +68,6 @@
         if not self.are_left(most_sends):
             return RepeatDenial.TIME
         daemons = self._state.daemons
-        if self._state.budget.take(self._service, daemons, self._state.clock(), reserve):
+        if self._state.budget.try_spend(self._service, daemons, self._state.clock(), reserve):
             return None
         return RepeatDenial.BUDGET
--- a/winchfork/router/replica_probes.py
+++ b/winchfork/router/replica_probes.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from winchfork.core.broken_runs import EndEvidence
+from winchfork.core.broken_runs import CrashEvidence
 from winchfork.core.relay_replica import RelayReplica
 from winchfork.errors import Failure, FailureKind
 from winchfork.router.connection_pool import ConnectionPool
@@ -46,4 +46,4 @@
             self._pool.give_back(address, connection)
             self._state.crashes.note_reached(replica, asked_s)
         elif connection.kind is FailureKind.CONNECTION_REFUSED:
-            self._state.crashes.note_ended(replica, EndEvidence.PORT_CLOSED)
+            self._state.crashes.note_ended(replica, CrashEvidence.PORT_CLOSED)
--- a/winchfork/router/software_rollout.py
+++ b/winchfork/router/software_rollout.py
@@ -110,7 +110,7 @@
 
     def _listen_around(self, now_s: float) -> None:
         """Note whether every daemon is heard; one that is silent for long is no longer missed."""
-        if self._state.quotas.supply.coverage >= WHOLE_FLEET:
+        if self._state.quotas.refill_share.coverage >= WHOLE_FLEET:
             self._unheard_since_s = None
             return
         if self._unheard_since_s is None:
--- a/winchfork/router/state.py
+++ b/winchfork/router/state.py
@@ -6,24 +6,24 @@
 from collections import defaultdict
 from collections.abc import Callable
 
-from winchfork.core.broken_runs import EndEvidence
+from winchfork.core.broken_runs import CrashEvidence
 from winchfork.core.engine_speed import EngineSpeed
 from winchfork.core.freshness import Freshness
-from winchfork.core.kept_backlog import KeptBacklog
+from winchfork.core.cached_parts_backlog import CachedPartsBacklog
 from winchfork.core.part_index import PartIndex
 from winchfork.core.place_queue import PlaceQueue
 from winchfork.core.placement_request import CacheStoreChoice
 from winchfork.core.prompt_parts import Prompt
-from winchfork.core.quota_book import QuotaBook
+from winchfork.core.quota_ledger import QuotaLedger
 from winchfork.core.region_delay import RegionDelay
 from winchfork.core.relay_fleet import RelayFleet, StandingChange
 from winchfork.core.relay_replica import RelayReplica, ReplicaListing
 from winchfork.core.routing import Route, RoutingTable, SplitChooser
-from winchfork.core.sliding_budget import RetryAllowance, SlidingRetryBudget
-from winchfork.core.store_outage import StoreOutageWatch
+from winchfork.core.sliding_retry_budget import RetryAllowance, SlidingRetryBudget
+from winchfork.core.store_outage import StoreOutageDetector
 from winchfork.core.store_position import StorePosition
 from winchfork.core.weight_rollout import VersionHistory
-from winchfork.core.zone_reach import ZoneReach
+from winchfork.core.zone_reachability import ZoneReachability
 from winchfork.errors import Failure
 from winchfork.logs import log_event
 from winchfork.router.cache_stores import CacheStores
@@ -76,14 +76,14 @@
         self.region_delay = RegionDelay()
         self.parts = PartIndex()
         #: What this daemon has learned of kept parts and has not told its peers yet.
-        self.kept_news = KeptBacklog()
+        self.kept_news = CachedPartsBacklog()
         #: The daemon that the store names as the leader; empty while there is none.
         self.leader_id = ""
         #: Highest fence under which a rollout leader has spoken.
         self.weights_fence = 0
         self.freshness = Freshness()
         self.standstill = StandstillWatch()
-        self.store_outage = StoreOutageWatch(clock(), has_peers=bool(settings.seeds))
+        self.store_outage = StoreOutageDetector(clock(), has_peers=bool(settings.seeds))
         self.software = SoftwareVersions(
             self.fleet,
             lambda: self.freshness.age_s(self.clock()),
@@ -114,7 +114,7 @@
         self.daemons = ASSUMED_DAEMONS
         #: Tells this start of the process from others.
         self.life = generator.getrandbits(LIFE_BITS)
-        self.reach = ZoneReach(settings.zone)
+        self.reach = ZoneReachability(settings.zone)
         self.zones = ZoneWatch(self)
         self.choice = ReplicaChoice(self)
         self.crashes = CrashGuard(settings.node_id, clock)
@@ -123,7 +123,7 @@
         #: Requests that wait for places of limited replicas, by service.
         self.place_queues: defaultdict[str, PlaceQueue] = defaultdict(PlaceQueue)
         self.notices = NoticeBook(self)
-        self.quotas = QuotaBook(bounds.quota, self.life)
+        self.quotas = QuotaLedger(bounds.quota, self.life)
         self._engine_speeds: defaultdict[str, EngineSpeed] = defaultdict(EngineSpeed)
         #: Seconds of a run for each token that its caller allows out, as measured lately.
         self.token_s = FIRST_TOKEN_S
@@ -226,13 +226,13 @@
     def note_superseded(self, replica: RelayReplica, by: str = "") -> None:
         """Record that another incarnation answers at a replica's address, ``by`` if it said so."""
         self.fleet.note_other_answered(replica, by)
-        self.crashes.note_ended(replica, EndEvidence.REPLACED)
+        self.crashes.note_ended(replica, CrashEvidence.REPLACED)
 
     def note_failure(self, replica: RelayReplica, reason: str, *, certain: bool = False) -> None:
         """Record a replica's failure; log when it is now left alone for a while."""
         now_s = self.clock()
         if certain:
-            self.reach.note_failed(replica.listing.zone, replica.order_hash, now_s)
+            self.reach.record_failure(replica.listing.zone, replica.order_hash, now_s)
         if replica.note_failure(now_s, certain=certain):
             log_event(
                 "replica_ejected",
@@ -249,7 +249,7 @@
         for replica in self.fleet.replicas():
             if replica.order_hash != replica_hash:
                 continue
-            self.reach.note_failed(replica.listing.zone, replica_hash, now_s)
+            self.reach.record_failure(replica.listing.zone, replica_hash, now_s)
             if replica.note_accusation(accuser, now_s):
                 log_event(
                     "replica_ejected",
--- a/winchfork/router/store_sync.py
+++ b/winchfork/router/store_sync.py
@@ -102,7 +102,7 @@
                 failures = 1 if self._listed else failures
                 self._listed = False
             else:
-                self._state.store_outage.note_failure(asked_s, self._state.clock())
+                self._state.store_outage.record_failure(asked_s, self._state.clock())
                 self._note_lost(failure)
             await asyncio.sleep(self._back_off_s(failures))
 
@@ -150,7 +150,7 @@
         self._installer.restoring = False
         missing = self.table.missing_from(item.key for item in items)
         gone = [TableItem(key, at.revision, None, after_outage) for key in missing]
-        self.table.note_list(at.revision, after_outage=after_outage)
+        self.table.mark_listed(at.revision, after_outage=after_outage)
         self._apply(gone, at.era)
         if LEADER_KEY not in {item.key for item in items}:
             self._leadership.note_no_entry(at)
@@ -232,7 +232,7 @@
     def _note_answer(self, at_s: float) -> None:
         """The store has shown everything that it held at ``at_s``."""
         self._state.freshness.prove(at_s)
-        self._state.store_outage.note_answer(at_s)
+        self._state.store_outage.record_answer(at_s)
         self._begin_bounds_anew()
 
     def _watch_wait_s(self) -> float:
@@ -273,7 +273,7 @@
     def _apply(self, items: Iterable[TableItem], era: int) -> None:
         """Install the entries that are newer than what is held."""
         for item in items:
-            if self.table.note(item):
+            if self.table.apply(item):
                 self._installer.install(item, era, self._news)
 
     def _assumed_age_s(self) -> float:
@@ -313,20 +313,20 @@
 
         One daemon's failed calls move nothing: the others go on counting and loading.
         """
-        outage = self._state.store_outage.take_ended()
+        outage = self._state.store_outage.pop_ended()
         if outage is None:
             return
-        log_event("store_outage_ended", "WARNING", for_s=outage.regained_s - outage.lost_s)
+        log_event("store_outage_ended", "WARNING", for_s=outage.ended_at_s - outage.started_at_s)
         bound_s = self._state.settings.bounds.weights_s
-        begins_s = outage.regained_s + self._settling_s()
+        begins_s = outage.ended_at_s + self._settling_s()
         for model, history in self._state.versions.items():
-            for named in history.restart_bounds(outage.lost_s, begins_s, bound_s):
+            for named in history.restart_bounds(outage.started_at_s, begins_s, bound_s):
                 log_event(
                     "weights_bound_restarted",
                     "WARNING",
                     model=model,
                     version=named.version,
-                    heard_before_s=outage.regained_s - named.heard_s,
+                    heard_before_s=outage.ended_at_s - named.heard_s,
                     begins_in_s=begins_s - self._state.clock(),
                 )
 
--- a/winchfork/router/version_news.py
+++ b/winchfork/router/version_news.py
@@ -72,9 +72,9 @@
         if view is self._greeted_view:
             return
         self._greeted_view = view
-        greeted = view.others if view.direct else []
-        if not view.direct and view.is_hub:
-            greeted = [*view.zone_others, *view.far_hubs]
+        greeted = view.others if view.is_full_mesh else []
+        if not view.is_full_mesh and view.is_hub:
+            greeted = [*view.zone_peers, *view.other_zone_hubs]
         members = {(member.member_id, member.incarnation): member for member in greeted}
         newcomers = [members[key] for key in members.keys() - self._known_members]
         self._known_members = set(members)
--- a/winchfork/router/work_exchange.py
+++ b/winchfork/router/work_exchange.py
@@ -10,10 +10,10 @@
 
 from collections.abc import Callable, Iterable
 
-from winchfork.core.kept_backlog import KeptBacklog
+from winchfork.core.cached_parts_backlog import CachedPartsBacklog
 from winchfork.core.member import Member
 from winchfork.core.zone_hubs import FleetView
-from winchfork.core.zone_reach import SILENCE_S
+from winchfork.core.zone_reachability import SILENCE_TIMEOUT_S
 from winchfork.router.peer_messages import (
     Activity,
     FleetWork,
@@ -90,8 +90,8 @@
         self._added_up_s = 0.0
         state.fleet.refresh = self.refresh
         #: Parts to pass on, by replica: those of this zone, and those heard from other zones.
-        self._zone_kept = KeptBacklog()
-        self._far_kept = KeptBacklog()
+        self._zone_kept = CachedPartsBacklog()
+        self._far_kept = CachedPartsBacklog()
 
     def tick(self, now_s: float) -> None:
         """Tell what is news, and add up what was heard."""
@@ -103,16 +103,16 @@
         quota = self._quotas.own_report(now_s)
         correction = self._quotas.correction(now_s)
         is_old = bool(loads) and now_s - self._told_at_s > RETELL_S
-        is_silent = view.direct and now_s - self._told_at_s > RETELL_S
+        is_silent = view.is_full_mesh and now_s - self._told_at_s > RETELL_S
         is_asked = bool(quota or correction or is_silent)
         if kept or is_old or is_asked or _work_of(loads) != _work_of(self._told):
             self._told = loads
             self._told_at_s = now_s
             self._is_news = True
-            receivers = view.others if view.direct else view.other_own_hubs
+            receivers = view.others if view.is_full_mesh else view.own_hub_peers
             self._send(receivers, Activity(self._own_id, loads, kept, quota, correction))
         self._judge_reach(view, now_s)
-        if not view.direct and view.is_hub:
+        if not view.is_full_mesh and view.is_hub:
             _add(self._zone_kept, kept)
             if self._speaks(view, now_s):
                 self._speak(view, now_s)
@@ -124,7 +124,7 @@
 
     def tell_soon(self) -> None:
         """Work has changed: tell the hubs before the next tick, other changes with it."""
-        if not self._told_soon and not self._peers.view.direct:
+        if not self._told_soon and not self._peers.view.is_full_mesh:
             self._told_soon = True
             self._call_later(TELL_SOON_S, lambda: self.tick(self._state.clock()))
 
@@ -143,12 +143,12 @@
 
     def _judge_reach(self, view: FleetView, now_s: float) -> None:
         """Find out which zones are out of reach: hubs for their zone, in a small fleet each."""
-        if view.direct or view.is_hub:
-            silence_s = DIRECT_SILENCE_S if view.direct else SILENCE_S
+        if view.is_full_mesh or view.is_hub:
+            silence_s = DIRECT_SILENCE_S if view.is_full_mesh else SILENCE_TIMEOUT_S
             reach = self._state.reach
             self._state.zones.take_reach(
-                reach.found_unreachable(now_s, silence_s),
-                is_isolated=reach.found_isolated(now_s, ISOLATED_SILENCE_S),
+                reach.detect_unreachable(now_s, silence_s),
+                is_isolated=reach.detect_isolated(now_s, ISOLATED_SILENCE_S),
             )
 
     def _speaks(self, view: FleetView, now_s: float) -> bool:
@@ -186,8 +186,8 @@
         own_zone = self._state.settings.zone
         far_levels = levels if complete else None
         zone_work = ZoneWork(self._own_id, own_zone, told, zone_kept, quota, far_levels)
-        self._send(view.near_hubs, zone_work)
-        self._send(view.zone_others, message)
+        self._send(view.same_region_hubs, zone_work)
+        self._send(view.zone_peers, message)
         self._regions.note_zone(zone_work)
 
     def _zone_loads(self, now_s: float) -> tuple[ReplicaLoadNote, ...]:
@@ -218,7 +218,7 @@
         """Take in what another zone does."""
         now_s = self._state.clock()
         self._zones[message.zone] = HeardLoads(now_s, message.loads)
-        self._state.reach.note_heard(message.zone, now_s)
+        self._state.reach.record_message(message.zone, now_s)
         self._regions.note_zone(message)
         self._note_kept(message.kept)
         self._quotas.take_zone(message.sender_id, message.zone, message.quota, message.levels)
@@ -231,15 +231,15 @@
         now_s = self._state.clock()
         for zone in self._peers.view.hubs:
             if self._state.settings.regions.region_of(zone) == message.region:
-                self._state.reach.note_heard(zone, now_s)
+                self._state.reach.record_message(zone, now_s)
         self._is_news = True
 
     def _note_heard(self, sender_id: str, now_s: float) -> None:
         """In a small fleet every daemon hears every other."""
-        if self._peers.view.direct:
+        if self._peers.view.is_full_mesh:
             for member in self._peers.view.members:
                 if member.member_id == sender_id:
-                    self._state.reach.note_heard(member.zone, now_s)
+                    self._state.reach.record_message(member.zone, now_s)
 
     def take_fleet(self, message: FleetWork) -> None:
         """Take in what all daemons do; what the speaking hub has told, another need not."""
@@ -277,9 +277,9 @@
         self._added_up_s = now_s
         view = self._peers.view
         own: dict[int, ReplicaLoadNote] = {}
-        if view.direct or view.is_hub:
+        if view.is_full_mesh or view.is_hub:
             heard = self._fresh(self._activities, now_s)
-            if not view.direct:
+            if not view.is_full_mesh:
                 heard += [*self._fresh(self._zones, now_s), *self._regions.loads(now_s)]
         else:
             heard = self._fleet.fresh(now_s)
@@ -302,10 +302,10 @@
     return [(note.replica_hash, note.in_flight, note.unread_tokens) for note in loads]
 
 
-def _add(backlog: KeptBacklog, notes: Iterable[KeptNote]) -> None:
+def _add(backlog: CachedPartsBacklog, notes: Iterable[KeptNote]) -> None:
     for note in notes:
         backlog.add(note.replica_hash, note.parts)
 
 
-def _take(backlog: KeptBacklog, most: int) -> tuple[KeptNote, ...]:
-    return tuple(KeptNote(replica_hash, keys) for replica_hash, keys in backlog.take(most))
+def _take(backlog: CachedPartsBacklog, most: int) -> tuple[KeptNote, ...]:
+    return tuple(KeptNote(replica_hash, keys) for replica_hash, keys in backlog.pop(most))
--- a/winchfork/router/zone_watch.py
+++ b/winchfork/router/zone_watch.py
@@ -16,7 +16,7 @@
 
 
 class ZoneWatch:
-    """Acts on what :class:`winchfork.core.zone_reach.ZoneReach` finds."""
+    """Acts on what :class:`winchfork.core.zone_reachability.ZoneReach` finds."""
 
     def __init__(self, state: RouterState) -> None:
         self._state = state
