--- a/benchmarks/crashing_requests.py
+++ b/benchmarks/crashing_requests.py
@@ -101,7 +101,7 @@
 
     def _start(self, number: int) -> RelayReplica:
         born_ms = int(self._now_s * 1000) + 1
-        listing = ReplicaListing(f"r{number}", "s", "a:1", "z", 8, True, born_ms=born_ms)
+        listing = ReplicaListing(f"r{number}", "s", "a:1", "z", 8, True, started_at_ms=born_ms)
         return RelayReplica(listing, {}, listing.incarnation)
 
     def play(self, seconds: float) -> None:
--- a/benchmarks/limit_sharing.py
+++ b/benchmarks/limit_sharing.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from winchfork.core.request_limit import LimitOrder, RequestLimit
+from winchfork.core.request_limit import LimitPosition, RequestLimit
 
 SECONDS = 120.0
 WINDOW_S = 4.0
@@ -65,12 +65,12 @@
     """A few daemons share it."""
     limits = [RequestLimit() for _ in range(daemons)]
     for place, limit in enumerate(limits):
-        limit.take_place(LimitOrder(place, daemons), 0.0)
-        limit.name(per_s, SECONDS)
+        limit.set_position(LimitPosition(place, daemons), 0.0)
+        limit.update(per_s, SECONDS)
     sent_s = []
     for at_s, daemon in asked:
-        if limits[daemon].opens_in_s(at_s) <= 0.0:
-            limits[daemon].note_sent(at_s)
+        if limits[daemon].available_in_s(at_s) <= 0.0:
+            limits[daemon].record_sent(at_s)
             sent_s.append(at_s)
     return Outcome(sent_s)
 
--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -19,9 +19,9 @@
 REPLICA = "i-limited"
 
 
-def list_limited(daemon: Daemon, born_ms: int = 0) -> None:
+def install_limited_replica(daemon: Daemon, started_at_ms: int = 0) -> None:
     """List the replica to a daemon."""
-    listing = ReplicaListing(REPLICA, "s", "a:2", "z1", 8, True, {"m": 1}, born_ms=born_ms)
+    listing = ReplicaListing(REPLICA, "s", "a:2", "z1", 8, True, {"m": 1}, started_at_ms=started_at_ms)
     daemon.state.install_listing(listing)
 
 
@@ -37,9 +37,9 @@
         self._answers: set[asyncio.Task[None]] = set()
         self._random = random.Random(len(daemons))
         for daemon in daemons:
-            list_limited(daemon)
+            install_limited_replica(daemon)
 
-    def record(self, daemon: Daemon) -> RelayReplica:
+    def replica_at(self, daemon: Daemon) -> RelayReplica:
         """Return what a daemon believes of it."""
         replica = daemon.state.fleet.get(REPLICA)
         assert replica is not None
@@ -48,17 +48,17 @@
     def limits(self) -> list[float | None]:
         """Return the limit that each living daemon knows of."""
         living = [item for item in self.daemons if item.ip in self.network.groups]
-        return [self.record(daemon).notice.limit.per_s for daemon in living]
+        return [self.replica_at(daemon).notice.limit.per_s for daemon in living]
 
-    def offer(self, daemon: Daemon, *, chosen_before: bool = False) -> bool:
+    def send_if_allowed(self, daemon: Daemon, *, skip_check: bool = False) -> bool:
         """Send it a request of a daemon, if its beliefs allow that."""
         if daemon.ip not in self.network.groups:
             return False
         now_s = daemon.state.clock()
-        replica = self.record(daemon)
-        if not chosen_before and not replica.takes_requests(now_s):
+        replica = self.replica_at(daemon)
+        if not skip_check and not replica.accepts_requests(now_s):
             return False
-        replica.notice.note_sent(now_s)
+        replica.notice.record_sent(now_s)
         self.arrivals_s.append(now_s)
         self.senders.add(daemon.ip)
         task = asyncio.create_task(self._answer(daemon, replica, now_s))
@@ -67,21 +67,21 @@
         return True
 
     async def _answer(self, daemon: Daemon, replica: RelayReplica, sent_s: float) -> None:
-        notice = AnswerNotice(limit_per_s=self.per_s, names_limit=self.per_s is not None)
+        notice = AnswerNotice(limit_per_s=self.per_s, has_limit=self.per_s is not None)
         await asyncio.sleep(ANSWER_S)
         if daemon.ip in self.network.groups:
             daemon.state.notices.note(replica, notice, sent_s)
 
-    async def press(self, seconds: float, requests_per_s: float = 10.0) -> None:
+    async def generate_load(self, seconds: float, requests_per_s: float = 10.0) -> None:
         """Let each daemon have so many requests a second for it, at random times."""
         loop = asyncio.get_running_loop()
         until_s = loop.time() + seconds
         mean_s = 1.0 / (requests_per_s * len(self.daemons))
         while loop.time() < until_s:
             await asyncio.sleep(self._random.expovariate(1.0) * mean_s)
-            self.offer(self._random.choice(self.daemons))
+            self.send_if_allowed(self._random.choice(self.daemons))
 
-    def most_in_window(self, from_s: float) -> int:
+    def max_in_window(self, from_s: float) -> int:
         """Return the most requests that came in any 4 s since then."""
         came_s = [at_s for at_s in self.arrivals_s if at_s >= from_s]
         return max(
--- a/tests/peer_samples.py
+++ b/tests/peer_samples.py
@@ -86,7 +86,7 @@
     Accusation("n1", 2**63 + 3),
     RegionWork("n1", "g", True, _LOADS, (ZoneUse("n1", "z1", _QUOTA, _LEVELS),)),
     VersionEvidence("n1", 77, "z1", "s", 12, (EvidenceNote(1, 2, 30, 4, 5),)),
-    VersionStop("n1", "s", 12, StopCause.SPENT),
+    VersionStop("n1", "s", 12, StopCause.BUDGET_EXHAUSTED),
     EndedUnder(2**63 + 4, (_DIGEST,)),
     SuspectUnderWay("n1", _DIGEST, 2**63 + 4, 900),
     ClearedRequests((_DIGEST,)),
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -185,9 +185,9 @@
         self.under_way[replica.replica_id] += 1
         request = Request(at_s, route, software, replica.replica_id, running)
         answer = self.behaviour(request, self.generator)
-        replica.note_sent(number, 0, self.now_s() + answer.took_s)
+        replica.record_sent(number, 0, self.now_s() + answer.took_s)
         await asyncio.sleep(answer.took_s)
-        replica.note_done(number)
+        replica.record_ended(number)
         self.under_way[replica.replica_id] -= 1
         if software == "v2" and (answer.failed or answer.took_s > 2 * ANSWER_S):
             self.bad_answers += 1
--- a/tests/test_cache_store_copies.py
+++ b/tests/test_cache_store_copies.py
@@ -7,7 +7,7 @@
 
 from tests.test_relay_placement import COPY_RATE, SCOPE, fleet_of, prompt, store_choices
 from winchfork.core.part_index import PartIndex, shared_keys
-from winchfork.core.placement_request import PromptPlacement
+from winchfork.core.placement_request import PromptPlacementRequest
 from winchfork.core.prompt_parts import Prompt, PromptPart
 from winchfork.core.region_map import RegionMap
 from winchfork.core.relay_placement import place_prompt
@@ -23,7 +23,7 @@
     def test_a_daemon_that_knows_nothing_asks_the_store(self) -> None:
         """A daemon that had restarted had every family read again that the store kept."""
         replicas, store = fleet_of(3), fleet_of(9)[8]
-        placement = PromptPlacement(
+        placement = PromptPlacementRequest(
             prompt("f"), SCOPE, "z1", copy_tokens_per_s=COPY_RATE, stores=store_choices(store)
         )
         decision = place_prompt(placement, replicas, [*replicas, store], PartIndex())
@@ -34,7 +34,7 @@
     def test_parts_that_are_read_as_fast_as_asked_for_are_not_asked_for(self) -> None:
         replicas, store = fleet_of(3), fleet_of(9)[8]
         short = Prompt("m", (PromptPart("f", 100), PromptPart("own", 400)), 500)
-        placement = PromptPlacement(
+        placement = PromptPlacementRequest(
             short, SCOPE, "z1", copy_tokens_per_s=COPY_RATE, stores=store_choices(store)
         )
         decision = place_prompt(placement, replicas, [*replicas, store], PartIndex())
@@ -49,10 +49,10 @@
         request = prompt("f")
         keys = shared_keys(SCOPE, request, 1)
         keeper = replicas[0]
-        index.note_held(keys, keeper.order_hash, 1.0)
-        index.note_held(keys, store.order_hash, 1.0)
-        keeper.unread_tokens = 2000
-        placement = PromptPlacement(
+        index.record_cached(keys, keeper.order_hash, 1.0)
+        index.record_cached(keys, store.order_hash, 1.0)
+        keeper.pending_prefill_tokens = 2000
+        placement = PromptPlacementRequest(
             request,
             SCOPE,
             "z1",
--- a/tests/test_crash_fleet.py
+++ b/tests/test_crash_fleet.py
@@ -48,7 +48,7 @@
     def end(self, number: int, incarnation: int, digest: bytes) -> None:
         """A replica ends under a request that one daemon has sent."""
         guard = self.daemons[number % len(self.daemons)].state.crashes
-        listing = ReplicaListing("i", "s", "a:1", "z", 8, True, born_ms=incarnation)
+        listing = ReplicaListing("i", "s", "a:1", "z", 8, True, started_at_ms=incarnation)
         replica = RelayReplica(listing, {}, listing.incarnation)
         guard.note_broken(replica, digest, silent=False)
         guard.note_ended(replica, CrashEvidence.PORT_CLOSED)
--- a/tests/test_engine_speed.py
+++ b/tests/test_engine_speed.py
@@ -6,7 +6,7 @@
 
 from tests.relay_case import RelayTestCase
 from tests.relay_support import ScriptedReplica, SeenRequest, answering, chunk, event, stream_head
-from winchfork.core.engine_speed import MOST_TIMES_PRIOR, PRIOR_READ_TOKENS_PER_S, EngineSpeed
+from winchfork.core.engine_speed import MAX_PRIOR_RATIO, PRIOR_PREFILL_TOKENS_PER_S, EngineSpeed
 from winchfork.core.routing import RouteKind
 
 
@@ -14,8 +14,8 @@
     speed = EngineSpeed()
     for number in range(samples):
         tokens = 100 if number % 2 else 3_000 + 100 * number
-        speed.note_first_token(tokens, first_token_s + tokens / rate)
-    return speed.read_tokens_per_s
+        speed.record_first_token(tokens, first_token_s + tokens / rate)
+    return speed.prefill_tokens_per_s
 
 
 class EngineSpeedTest(unittest.TestCase):
@@ -26,12 +26,12 @@
 
     def test_prompts_of_middle_length_say_nothing(self) -> None:
         speed = EngineSpeed()
-        speed.note_first_token(1_000, 5.0)
-        self.assertEqual(speed.read_tokens_per_s, PRIOR_READ_TOKENS_PER_S)
+        speed.record_first_token(1_000, 5.0)
+        self.assertEqual(speed.prefill_tokens_per_s, PRIOR_PREFILL_TOKENS_PER_S)
 
     def test_absurd_times_lead_no_further_than_the_bounds(self) -> None:
-        self.assertGreaterEqual(learned(1.0, 0.0), PRIOR_READ_TOKENS_PER_S / MOST_TIMES_PRIOR)
-        self.assertLessEqual(learned(1e12, 0.0), PRIOR_READ_TOKENS_PER_S * MOST_TIMES_PRIOR)
+        self.assertGreaterEqual(learned(1.0, 0.0), PRIOR_PREFILL_TOKENS_PER_S / MAX_PRIOR_RATIO)
+        self.assertLessEqual(learned(1e12, 0.0), PRIOR_PREFILL_TOKENS_PER_S * MAX_PRIOR_RATIO)
 
 
 class LearnedOnThePathTest(RelayTestCase):
@@ -43,5 +43,5 @@
         usage = "X-Model: m\r\nX-Token-Usage: 9000,9\r\nX-Prefix-Hash: aa:9000\r\n"
         await relay.ask(method="POST", extra=usage)
         self.assertNotEqual(
-            relay.state.engine_speed("s").read_tokens_per_s, PRIOR_READ_TOKENS_PER_S
+            relay.state.engine_speed("s").prefill_tokens_per_s, PRIOR_PREFILL_TOKENS_PER_S
         )
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -26,7 +26,7 @@
             assert former is not None
             state.note_kept(former, [11, 12])
             former.loading_until_s = state.clock() + 60.0
-            former.note_sent(1, 500, state.clock() + 60.0, 700)
+            former.record_sent(1, 500, state.clock() + 60.0, 700)
             state.note_failure(former, "refused", certain=True)
             followed.put_replica("i-1", born=2_000)
             await asyncio.sleep(0.2)
@@ -34,8 +34,8 @@
             assert living is not None
             self.assertIsNot(living, former)
             self.assertTrue(living.accepting)
-            self.assertEqual((living.loading_until_s, living.avoided_until_s), (0.0, 0.0))
-            self.assertEqual((living.running, living.queued_tokens, living.used_tokens), (0, 0, 0))
+            self.assertEqual((living.loading_until_s, living.ejected_until_s), (0.0, 0.0))
+            self.assertEqual((living.running, living.queued_prefill_tokens, living.used_tokens), (0, 0, 0))
             self.assertEqual(state.parts.holders(11), {})
             state.note_peer_kept(former.order_hash, (13,))
             self.assertNotIn(living.order_hash, state.parts.holders(13))
--- a/tests/test_late_word.py
+++ b/tests/test_late_word.py
@@ -29,7 +29,7 @@
         for ticked in (False, True):
             with self.subTest(ticked_before_it_is_read=ticked):
                 relay = run_virtually(self._read_late(ticked))
-                named_s = relay.state.versions["m"].named[0].heard_s
+                named_s = relay.state.versions["m"].versions[0].received_at_s
                 self.assertLessEqual(named_s, 1000.0)
 
     async def _read_late(self, ticked: bool) -> RelayUnderTest:
@@ -52,7 +52,7 @@
                 await asyncio.sleep(0.2)
             news = VersionNews(state, cast(PeerPort, None))
             news.take_named(NamedVersions((NamedNote("m", 4, 500),)))
-            return state.clock() - state.versions["m"].named[0].heard_s
+            return state.clock() - state.versions["m"].versions[0].received_at_s
 
         self.assertAlmostEqual(run_virtually(scenario()), 0.5)
 
@@ -79,8 +79,8 @@
             document = json.dumps({"Model": MODEL, "Version": 2}).encode()
             named = TableItem(f"op/version/{MODEL}", later.revision, document)
             deaf.sync.take_update(TableUpdate(known, later, False, False, (named,)))
-            (newest,) = (item for item in deaf.state.versions[MODEL].named if item.version == 2)
-            self.assertLessEqual(newest.heard_s, proven_s)
+            (newest,) = (item for item in deaf.state.versions[MODEL].versions if item.version == 2)
+            self.assertLessEqual(newest.received_at_s, proven_s)
             self.assertTrue(newest.assumed)
 
         run_virtually(main())
--- a/tests/test_limit_fleet.py
+++ b/tests/test_limit_fleet.py
@@ -10,10 +10,10 @@
 import asyncio
 import unittest
 
-from tests.limit_fleet import REPLICA, LimitedReplica, list_limited
+from tests.limit_fleet import REPLICA, LimitedReplica, install_limited_replica
 from tests.peer_support import Daemon, Network, among
 from tests.virtual_loop import run_virtually
-from winchfork.core.request_limit import LEAST_PER_S, SILENCE_S
+from winchfork.core.request_limit import MIN_REQUESTS_PER_S, TRIAL_AFTER_SILENCE_S
 from winchfork.router.peer_messages import Forward, LimitNote, NoticeNote, ReplicaNotices
 
 #: All daemons know within this time what one has heard.
@@ -33,11 +33,11 @@
     def test_one_answer_tells_all_and_the_end_too(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons, 1.0)
-            replica.offer(daemons[0])
+            replica.send_if_allowed(daemons[0])
             await asyncio.sleep(TOLD_WITHIN_S)
             self.assertEqual(set(replica.limits()), {1.0})
             replica.per_s = None
-            await replica.press(3.0)
+            await replica.generate_load(3.0)
             self.assertEqual(set(replica.limits()), {None})
             await asyncio.sleep(12.0)
             for daemon in daemons:
@@ -56,9 +56,9 @@
                 ) -> None:
                     replica = LimitedReplica(network, daemons, per_s)
                     from_s = daemons[0].state.clock() + TOLD_WITHIN_S
-                    await replica.press(40.0)
-                    most = replica.most_in_window(from_s)
-                    self.assertLessEqual(most, 4 * max(per_s, LEAST_PER_S) + 2)
+                    await replica.generate_load(40.0)
+                    most = replica.max_in_window(from_s)
+                    self.assertLessEqual(most, 4 * max(per_s, MIN_REQUESTS_PER_S) + 2)
                     used = sum(at_s > from_s for at_s in replica.arrivals_s) / 39.5
                     self.assertGreaterEqual(used, 0.85 * per_s)
 
@@ -68,13 +68,13 @@
     def test_killed_holders_are_followed_by_others(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons, 3.0)
-            await replica.press(6.0)
+            await replica.generate_load(6.0)
             from_s = daemons[0].state.clock()
             for daemon in daemons:
-                if replica.record(daemon).notice.limit.is_holder:
+                if replica.replica_at(daemon).notice.limit.is_holder:
                     daemon.kill(network)
-            await replica.press(20.0)
-            self.assertLessEqual(replica.most_in_window(from_s), allowed(3.0))
+            await replica.generate_load(20.0)
+            self.assertLessEqual(replica.max_in_window(from_s), allowed(3.0))
             late = [at_s for at_s in replica.arrivals_s if at_s > from_s + 15.0]
             self.assertGreaterEqual(len(late), 9)
 
@@ -84,15 +84,15 @@
     def test_a_daemon_that_starts_knows_within_seconds(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons, 1.0)
-            await replica.press(6.0)
+            await replica.generate_load(6.0)
             newcomer = Daemon(network, len(daemons) + 1)
-            list_limited(newcomer)
-            await replica.press(CONTACT_S)
-            self.assertEqual(replica.record(newcomer).notice.limit.per_s, 1.0)
+            install_limited_replica(newcomer)
+            await replica.generate_load(CONTACT_S)
+            self.assertEqual(replica.replica_at(newcomer).notice.limit.per_s, 1.0)
             from_s = newcomer.state.clock()
             daemons.append(newcomer)
-            await replica.press(10.0)
-            self.assertLessEqual(replica.most_in_window(from_s), allowed(1.0))
+            await replica.generate_load(10.0)
+            self.assertLessEqual(replica.max_in_window(from_s), allowed(1.0))
 
         among(15, scenario)
 
@@ -101,38 +101,38 @@
             replica = LimitedReplica(network, daemons, 3.0)
             network.drop = lambda sender, receiver: True
             newcomer = Daemon(network, len(daemons) + 1)
-            list_limited(newcomer)
-            replica.offer(newcomer)
+            install_limited_replica(newcomer)
+            replica.send_if_allowed(newcomer)
             await asyncio.sleep(1.0)
-            self.assertEqual(replica.record(newcomer).notice.limit.per_s, 3.0)
-            self.assertFalse(replica.offer(newcomer))
+            self.assertEqual(replica.replica_at(newcomer).notice.limit.per_s, 3.0)
+            self.assertFalse(replica.send_if_allowed(newcomer))
 
         among(3, scenario)
 
     def test_one_that_stood_still_sends_no_more_than_what_it_had_in_hand(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons, 1.0)
-            await replica.press(6.0)
-            holders = [item for item in daemons if replica.record(item).notice.limit.is_holder]
+            await replica.generate_load(6.0)
+            holders = [item for item in daemons if replica.replica_at(item).notice.limit.is_holder]
             replica.daemons = [item for item in daemons if item is not holders[0]]
-            await asyncio.gather(holders[0].stand_still(5.0, network), replica.press(5.0))
+            await asyncio.gather(holders[0].stand_still(5.0, network), replica.generate_load(5.0))
             replica.daemons = daemons
             from_s = daemons[0].state.clock() - 4.0
-            self.assertTrue(replica.offer(holders[0]))
-            self.assertFalse(replica.offer(holders[0]))
-            await replica.press(10.0)
-            self.assertLessEqual(replica.most_in_window(from_s), allowed(1.0))
+            self.assertTrue(replica.send_if_allowed(holders[0]))
+            self.assertFalse(replica.send_if_allowed(holders[0]))
+            await replica.generate_load(10.0)
+            self.assertLessEqual(replica.max_in_window(from_s), allowed(1.0))
 
         among(7, scenario)
 
     def test_holders_without_callers_hear_of_the_end_in_the_others_turns(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons, 1.0)
-            await replica.press(6.0)
+            await replica.generate_load(6.0)
             replica.per_s = None
-            idle = [item for item in daemons if replica.record(item).notice.limit.is_holder]
+            idle = [item for item in daemons if replica.replica_at(item).notice.limit.is_holder]
             replica.daemons = [item for item in daemons if item not in idle]
-            await replica.press(SILENCE_S + 5.0)
+            await replica.generate_load(TRIAL_AFTER_SILENCE_S + 5.0)
             self.assertEqual(set(replica.limits()), {None})
 
         among(7, scenario)
@@ -142,7 +142,7 @@
 
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons, 8.0)
-            await replica.press(4.0)
+            await replica.generate_load(4.0)
             sizes: list[int] = []
 
             def count(sender: str, receiver: str, data: bytes) -> None:
@@ -153,7 +153,7 @@
                     sizes.append(len(data))
 
             network.on_sent = count
-            await replica.press(20.0)
+            await replica.generate_load(20.0)
             self.assertGreater(len(sizes), 0)
             self.assertLess(sum(sizes) / 20.0 / len(daemons), MOST_BYTES_PER_S)
 
@@ -171,9 +171,9 @@
             daemons = [Daemon(network, number, zone=zones[number % 3]) for number in range(1, 10)]
             await asyncio.sleep(4.0)
             replica = LimitedReplica(network, daemons, 3.0)
-            replica.offer(daemons[0])
+            replica.send_if_allowed(daemons[0])
             await asyncio.sleep(TOLD_WITHIN_S)
-            holders = [item for item in daemons if replica.record(item).notice.limit.is_holder]
+            holders = [item for item in daemons if replica.replica_at(item).notice.limit.is_holder]
             self.assertEqual([item.state.settings.zone for item in holders], ["z1"] * 3)
 
         run_virtually(main())
@@ -202,16 +202,16 @@
     def test_an_older_word_changes_nothing_and_one_of_an_unknown_replica_neither(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons, 2.0)
-            replica.offer(daemons[0])
+            replica.send_if_allowed(daemons[0])
             await asyncio.sleep(TOLD_WITHIN_S)
             take = network.groups[daemons[0].ip]._handlers[ReplicaNotices]
-            key = replica.record(daemons[0]).order_hash
+            key = replica.replica_at(daemons[0]).order_hash
             old, unknown = LimitNote(None, 5000), LimitNote(1.0, 0)
             notes = (NoticeNote(key, False, 0, old), NoticeNote(5, False, 0, unknown))
             take(ReplicaNotices("n2", notes))
-            self.assertEqual(replica.record(daemons[0]).notice.limit.per_s, 2.0)
+            self.assertEqual(replica.replica_at(daemons[0]).notice.limit.per_s, 2.0)
             take(ReplicaNotices("n2", (NoticeNote(key, False, 0, LimitNote(None, 0)),)))
-            self.assertIsNone(replica.record(daemons[0]).notice.limit.per_s)
+            self.assertIsNone(replica.replica_at(daemons[0]).notice.limit.per_s)
 
         among(3, scenario)
 
@@ -226,12 +226,12 @@
 
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons, 1.0)
-            replica.offer(daemons[0])
+            replica.send_if_allowed(daemons[0])
             await asyncio.sleep(TOLD_WITHIN_S)
             for daemon in daemons:
                 daemon.state.fleet.remove(REPLICA)
                 born_s = daemon.state.notices.wall_clock() - started_s_ago
-                list_limited(daemon, int(born_s * 1000))
+                install_limited_replica(daemon, int(born_s * 1000))
             self.assertEqual(set(replica.limits()), {limit_per_s})
 
         among(3, scenario)
--- a/tests/test_limit_share.py
+++ b/tests/test_limit_share.py
@@ -11,11 +11,11 @@
 import unittest
 
 from winchfork.core.request_limit import (
-    LEAST_PER_S,
-    SETTLE_S,
-    SILENCE_S,
-    TURN_S,
-    LimitOrder,
+    MIN_REQUESTS_PER_S,
+    STABILIZATION_S,
+    TRIAL_AFTER_SILENCE_S,
+    TRIAL_TURN_S,
+    LimitPosition,
     RequestLimit,
 )
 
@@ -39,18 +39,18 @@
         self.limits = [RequestLimit() for _ in range(daemons)]
         self.sent_s: list[float] = []
         for place, limit in enumerate(self.limits):
-            limit.take_place(LimitOrder(place, daemons), 0.0)
-            limit.name(per_s, 0.0)
+            limit.set_position(LimitPosition(place, daemons), 0.0)
+            limit.update(per_s, 0.0)
 
     def offer(self, limit: RequestLimit) -> bool:
         """Send a request of a daemon if it may; its answer names the limit again."""
-        if limit.opens_in_s(self.now_s) > 0.0:
+        if limit.available_in_s(self.now_s) > 0.0:
             return False
-        limit.note_sent(self.now_s)
+        limit.record_sent(self.now_s)
         self.sent_s.append(self.now_s)
         assert limit.per_s is not None
         for other in self.limits:
-            other.name(limit.per_s, self.now_s)
+            other.update(limit.per_s, self.now_s)
         return True
 
     def run(self, seconds: float, generator: random.Random, demand_per_s: float) -> None:
@@ -77,7 +77,7 @@
                 with self.subTest(per_s=per_s, daemons=daemons):
                     fleet = LimitFleet(daemons, per_s)
                     fleet.press(40.0)
-                    allowed = WINDOW_S * max(per_s, LEAST_PER_S) + 1
+                    allowed = WINDOW_S * max(per_s, MIN_REQUESTS_PER_S) + 1
                     self.assertLessEqual(most_in_window(fleet.sent_s), allowed)
                     self.assertGreaterEqual(len(fleet.sent_s) / 40.0, 0.9 * per_s)
 
@@ -105,8 +105,8 @@
                         fleet.now_s += STEP_S
                         while heard and heard[0][0] <= fleet.now_s:
                             at_s, number = heard.pop(0)
-                            order = LimitOrder(places[number], daemons)
-                            fleet.limits[number].take_place(order, at_s + SETTLE_S)
+                            order = LimitPosition(places[number], daemons)
+                            fleet.limits[number].set_position(order, at_s + STABILIZATION_S)
                         for limit in fleet.limits:
                             fleet.offer(limit)
                 allowed = 1.5 * per_s * WINDOW_S + 5
@@ -116,9 +116,9 @@
         fleet = LimitFleet(20, 1.0)
         gone = fleet.limits.pop(0)
         self.assertTrue(gone.is_holder)
-        fleet.press(SILENCE_S - STEP_S)
+        fleet.press(TRIAL_AFTER_SILENCE_S - STEP_S)
         self.assertEqual(fleet.sent_s, [])
-        fleet.press(TURN_S)
+        fleet.press(TRIAL_TURN_S)
         self.assertEqual(len(fleet.sent_s), 1)
         fleet.press(60.0)
         self.assertLessEqual(most_in_window(fleet.sent_s), 1)
@@ -126,18 +126,18 @@
 
     def test_a_turn_comes_to_each_as_long_as_nobody_answers(self) -> None:
         limit = RequestLimit()
-        limit.take_place(LimitOrder(17, 20), 0.0)
-        limit.name(1.0, 0.0)
-        opens_s = [at_s for at_s in range(100) if limit.opens_in_s(at_s + 0.5) == 0.0]
-        begins_s = SILENCE_S + 16 * TURN_S
+        limit.set_position(LimitPosition(17, 20), 0.0)
+        limit.update(1.0, 0.0)
+        opens_s = [at_s for at_s in range(100) if limit.available_in_s(at_s + 0.5) == 0.0]
+        begins_s = TRIAL_AFTER_SILENCE_S + 16 * TRIAL_TURN_S
         self.assertEqual(opens_s, [begins_s, begins_s + 1, begins_s + 40, begins_s + 41])
 
     def test_a_smaller_limit_holds_at_once_from_the_last_request_on(self) -> None:
         limit = RequestLimit()
-        limit.note_sent(10.0)
-        limit.name(1.0, 10.1)
-        self.assertAlmostEqual(limit.opens_in_s(10.1), 1.0 / 0.95 - 0.2 - 0.1)
-        limit.name(0.5, 10.2)
-        self.assertGreater(limit.opens_in_s(10.9), 0.9)
-        limit.name(8.0, 10.3)
-        self.assertEqual(limit.opens_in_s(10.9), 0.0)
+        limit.record_sent(10.0)
+        limit.update(1.0, 10.1)
+        self.assertAlmostEqual(limit.available_in_s(10.1), 1.0 / 0.95 - 0.2 - 0.1)
+        limit.update(0.5, 10.2)
+        self.assertGreater(limit.available_in_s(10.9), 0.9)
+        limit.update(8.0, 10.3)
+        self.assertEqual(limit.available_in_s(10.9), 0.0)
--- a/tests/test_notice_rules.py
+++ b/tests/test_notice_rules.py
@@ -6,7 +6,7 @@
 
 from winchfork.core.replica_notice import (
     CLOCK_TOLERANCE_S,
-    DOUBTED_DRAINING_S,
+    UNCONFIRMED_DRAINING_S,
     MAX_BACKOFF_S,
     TRIAL_S,
     AnswerNotice,
@@ -63,62 +63,62 @@
 
     def test_a_wait_without_measure_is_bounded(self) -> None:
         notice = ReplicaNotice()
-        notice.note(AnswerNotice(backoff_s=1e12), 10.0)
+        notice.record(AnswerNotice(backoff_s=1e12), 10.0)
         self.assertEqual(notice.backoff_until_s, 10.0 + MAX_BACKOFF_S)
 
     def test_a_backoff_is_told_once(self) -> None:
         notice = ReplicaNotice()
         asked = AnswerNotice(backoff_s=3.0)
-        changes = [notice.note(asked, at_s) for at_s in (10.0, 10.1, 12.9, 16.0)]
+        changes = [notice.record(asked, at_s) for at_s in (10.0, 10.1, 12.9, 16.0)]
         nothing, backoff = NoticeChange.NOTHING, NoticeChange.BACKOFF
         self.assertEqual(changes, [backoff, nothing, nothing, backoff])
 
     def test_a_trial_that_is_not_turned_away_opens_it(self) -> None:
         notice = ReplicaNotice()
-        notice.note(AnswerNotice(backoff_s=3.0), 10.0)
-        self.assertEqual(notice.opens_in_s(11.0), 2.0)
-        notice.note_sent(13.5)
-        self.assertFalse(notice.takes_requests(13.6))
-        self.assertTrue(notice.takes_requests(13.5 + TRIAL_S))
-        notice.note_answered(13.5, turned_away=False)
-        self.assertTrue(notice.takes_requests(13.6))
-        notice.note_sent(13.6)
-        self.assertTrue(notice.takes_requests(13.6))
+        notice.record(AnswerNotice(backoff_s=3.0), 10.0)
+        self.assertEqual(notice.available_in_s(11.0), 2.0)
+        notice.record_sent(13.5)
+        self.assertFalse(notice.accepts_requests(13.6))
+        self.assertTrue(notice.accepts_requests(13.5 + TRIAL_S))
+        notice.record_answer(13.5, refused=False)
+        self.assertTrue(notice.accepts_requests(13.6))
+        notice.record_sent(13.6)
+        self.assertTrue(notice.accepts_requests(13.6))
 
     def test_an_answer_to_what_was_sent_before_the_backoff_ended_is_no_trial(self) -> None:
         notice = ReplicaNotice()
-        notice.note(AnswerNotice(backoff_s=3.0), 10.0)
-        notice.note_answered(9.0, turned_away=False)
-        notice.note_sent(13.5)
-        self.assertFalse(notice.takes_requests(13.6))
+        notice.record(AnswerNotice(backoff_s=3.0), 10.0)
+        notice.record_answer(9.0, refused=False)
+        notice.record_sent(13.5)
+        self.assertFalse(notice.accepts_requests(13.6))
 
     def test_a_trial_that_is_turned_away_is_followed_by_one_more(self) -> None:
         notice = ReplicaNotice()
-        notice.note(AnswerNotice(backoff_s=3.0), 10.0)
-        notice.note_sent(13.5)
-        notice.note_answered(13.5, turned_away=True)
-        self.assertTrue(notice.takes_requests(13.6))
-        notice.note_sent(13.6)
-        self.assertFalse(notice.takes_requests(13.7))
+        notice.record(AnswerNotice(backoff_s=3.0), 10.0)
+        notice.record_sent(13.5)
+        notice.record_answer(13.5, refused=True)
+        self.assertTrue(notice.accepts_requests(13.6))
+        notice.record_sent(13.6)
+        self.assertFalse(notice.accepts_requests(13.7))
 
     def test_draining_is_for_good_whatever_is_said_of_pauses(self) -> None:
         notice = ReplicaNotice()
         both = AnswerNotice(draining=True, backoff_s=3.0)
-        self.assertIs(notice.note(both, 10.0), NoticeChange.DRAINING)
-        self.assertFalse(notice.takes_requests(1e9))
+        self.assertIs(notice.record(both, 10.0), NoticeChange.DRAINING)
+        self.assertFalse(notice.accepts_requests(1e9))
 
     def test_a_doubtful_word_costs_a_successor_seconds_and_not_its_life(self) -> None:
         former, successor = ReplicaNotice(), ReplicaNotice()
-        former.note(AnswerNotice(draining=True), 10.0)
+        former.record(AnswerNotice(draining=True), 10.0)
         self.assertTrue(successor.adopt(former, started_s=8.0, now_s=12.0))
         self.assertFalse(successor.draining)
-        self.assertFalse(successor.takes_requests(11.9 + DOUBTED_DRAINING_S))
-        self.assertTrue(successor.takes_requests(12.0 + DOUBTED_DRAINING_S))
+        self.assertFalse(successor.accepts_requests(11.9 + UNCONFIRMED_DRAINING_S))
+        self.assertTrue(successor.accepts_requests(12.0 + UNCONFIRMED_DRAINING_S))
 
     def test_a_successor_takes_over_nothing_said_before_it_started(self) -> None:
         former = ReplicaNotice()
-        former.note(AnswerNotice(draining=True, backoff_s=600.0), 10.0)
+        former.record(AnswerNotice(draining=True, backoff_s=600.0), 10.0)
         successor = ReplicaNotice()
         self.assertFalse(successor.adopt(former, started_s=10.0 + CLOCK_TOLERANCE_S, now_s=12.0))
-        self.assertTrue(successor.takes_requests(12.0))
+        self.assertTrue(successor.accepts_requests(12.0))
         self.assertFalse(ReplicaNotice().adopt(ReplicaNotice(), started_s=1.0, now_s=12.0))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -64,13 +64,13 @@
             replica = first.state.fleet.get("i-1")
             seen = second.state.fleet.get("i-1")
             assert replica is not None and seen is not None
-            replica.note_sent(1, 5000, first.state.clock() + 2.0)
+            replica.record_sent(1, 5000, first.state.clock() + 2.0)
             await asyncio.sleep(0.5)
-            self.assertEqual((seen.peer_in_flight, seen.peer_unread_tokens), (1, 5000))
+            self.assertEqual((seen.peer_in_flight, seen.peer_pending_prefill_tokens), (1, 5000))
             self.assertGreater(seen.busy_until_s, second.state.clock())
             network.drop = lambda sender, receiver: True
             await asyncio.sleep(3.0)
-            self.assertEqual((seen.peer_in_flight, seen.peer_unread_tokens), (0, 0))
+            self.assertEqual((seen.peer_in_flight, seen.peer_pending_prefill_tokens), (0, 0))
 
         among(2, scenario)
 
@@ -82,13 +82,13 @@
             first, second, third, fourth = [item for item in replicas if item is not None]
             daemons[0].state.note_failure(first, "silent", certain=True)
             await asyncio.sleep(0.1)
-            self.assertEqual((third.avoided_until_s, fourth.avoided_until_s), (0.0, 0.0))
+            self.assertEqual((third.ejected_until_s, fourth.ejected_until_s), (0.0, 0.0))
             daemons[1].state.note_failure(second, "silent", certain=True)
             await asyncio.sleep(0.1)
             for replica, daemon in ((third, daemons[2]), (fourth, daemons[3])):
-                self.assertGreater(replica.avoided_until_s, daemon.state.clock())
+                self.assertGreater(replica.ejected_until_s, daemon.state.clock())
             await asyncio.sleep(1.5)
-            self.assertLess(third.avoided_until_s, daemons[2].state.clock())
+            self.assertLess(third.ejected_until_s, daemons[2].state.clock())
 
         among(4, scenario)
 
@@ -99,7 +99,7 @@
                     daemons[0].state.note_failure(replica, "silent", certain=True)
                 await asyncio.sleep(1.0)
             for replica in daemons[1].state.fleet.replicas():
-                self.assertEqual(replica.avoided_until_s, 0.0)
+                self.assertEqual(replica.ejected_until_s, 0.0)
 
         among(3, scenario)
 
@@ -110,7 +110,7 @@
             assert replica is not None
             first.state.note_kept(replica, [11, 12])
             await asyncio.sleep(0.5)
-            self.assertEqual(second.state.parts.kept_parts([11, 12], replica.order_hash), 2)
+            self.assertEqual(second.state.parts.cached_part_count([11, 12], replica.order_hash), 2)
             sent = first.peers.sent_bytes
             first.state.note_kept(replica, [11, 12])
             self.assertEqual(first.state.kept_news.pop(10), [])
@@ -138,12 +138,12 @@
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             first = daemons[0]
             first.state.versions["m"] = VersionHistory()
-            first.state.versions["m"].note(2, first.state.clock() - 5.0)
+            first.state.versions["m"].add(2, first.state.clock() - 5.0)
             newcomer = Daemon(network, 9)
             newcomer.state.versions["m"] = VersionHistory()
-            newcomer.state.versions["m"].note(2, newcomer.state.clock())
+            newcomer.state.versions["m"].add(2, newcomer.state.clock())
             await asyncio.sleep(3.0)
-            due_s = newcomer.state.versions["m"].due_s(1, 8.0) - newcomer.state.clock()
+            due_s = newcomer.state.versions["m"].expires_at_s(1, 8.0) - newcomer.state.clock()
             self.assertLess(due_s, 0.1)
 
         among(2, scenario)
--- a/tests/test_place_queue.py
+++ b/tests/test_place_queue.py
@@ -18,12 +18,12 @@
 
 from tests.relay_case import RelayTestCase
 from tests.relay_support import URGENT_KEY, RelayUnderTest, ScriptedReplica, answering, signed
-from winchfork.core.place_queue import (
-    PlaceOpening,
-    PlaceQueue,
-    PlaceTicket,
-    patience_s,
-    place_in_s,
+from winchfork.core.permit_queue import (
+    PermitOpening,
+    PermitQueue,
+    PermitTicket,
+    max_wait_s,
+    permit_in_s,
 )
 
 
@@ -73,13 +73,13 @@
 
 class PlaceQueueTest(unittest.TestCase):
     def test_places_are_counted_over_all_replicas(self) -> None:
-        openings = [PlaceOpening(0.0, 1.0), PlaceOpening(0.5, 2.0), PlaceOpening(math.inf, 1.0)]
+        openings = [PermitOpening(0.0, 1.0), PermitOpening(0.5, 2.0), PermitOpening(math.inf, 1.0)]
         expected = [0.0, 0.5, 1.0, 2.0, 2.5, 3.0, 4.0, 4.5]
-        self.assertEqual([place_in_s(openings, ahead) for ahead in range(8)], expected)
-        self.assertEqual(place_in_s([], 0), math.inf)
+        self.assertEqual([permit_in_s(openings, ahead) for ahead in range(8)], expected)
+        self.assertEqual(permit_in_s([], 0), math.inf)
 
     def test_who_comes_first_is_decided_by_priority_then_by_order(self) -> None:
-        queue = PlaceQueue()
+        queue = PermitQueue()
         first, second, urgent = queue.join(1), queue.join(1), queue.join(0)
         self.assertEqual([queue.ahead(ticket) for ticket in (urgent, first, second)], [0, 1, 2])
         queue.leave(first)
@@ -89,14 +89,14 @@
         self.assertEqual(len(queue), 0)
 
     def test_patience_is_half_the_objective_or_two_places(self) -> None:
-        self.assertEqual(patience_s([PlaceOpening(0.3, 0.1)], target_s=0.8), 0.4)
-        self.assertEqual(patience_s([PlaceOpening(0.3, 2.0)], target_s=0.8), 4.0)
-        self.assertEqual(patience_s([PlaceOpening(math.inf, 2.0)], target_s=0.8), 0.4)
+        self.assertEqual(max_wait_s([PermitOpening(0.3, 0.1)], target_s=0.8), 0.4)
+        self.assertEqual(max_wait_s([PermitOpening(0.3, 2.0)], target_s=0.8), 4.0)
+        self.assertEqual(max_wait_s([PermitOpening(math.inf, 2.0)], target_s=0.8), 0.4)
 
     def test_a_long_overload_serves_in_time_what_it_serves(self) -> None:
         """Twelve places and thirty requests a second, a tenth of them urgent, for 20 s."""
-        queue, waiting = PlaceQueue(), dict[PlaceTicket, float]()
-        openings = [PlaceOpening(0.0, 1.0 / 3.0)] * 4
+        queue, waiting = PermitQueue(), dict[PermitTicket, float]()
+        openings = [PermitOpening(0.0, 1.0 / 3.0)] * 4
         due_s = [0.0] * 4
         waits_s: dict[int, list[float]] = {0: [], 1: []}
         refused = {0: 0, 1: 0}
@@ -105,13 +105,13 @@
             if step % 100 < 90 and step % 3 == 0:
                 waiting[queue.join(0 if step % 30 == 0 else 1)] = now_s
             for ticket in sorted(waiting):
-                openings = [PlaceOpening(max(0.0, at_s - now_s), 1.0 / 3.0) for at_s in due_s]
-                opens_s = place_in_s(openings, queue.ahead(ticket))
+                openings = [PermitOpening(max(0.0, at_s - now_s), 1.0 / 3.0) for at_s in due_s]
+                opens_s = permit_in_s(openings, queue.ahead(ticket))
                 waited_s = now_s - waiting[ticket]
                 if opens_s <= 0.0:
                     due_s[due_s.index(min(due_s))] = now_s + 1.0 / 3.0
                     waits_s[ticket.priority].append(waited_s)
-                elif opens_s > patience_s(openings, 0.8) - waited_s:
+                elif opens_s > max_wait_s(openings, 0.8) - waited_s:
                     refused[ticket.priority] += 1
                 else:
                     continue
--- a/tests/test_region_fleet.py
+++ b/tests/test_region_fleet.py
@@ -91,7 +91,7 @@
     replica = daemon.state.fleet.get(replica_id)
     assert replica is not None
     for number in range(requests):
-        replica.note_sent(number, 100, daemon.state.clock() + 30.0)
+        replica.record_sent(number, 100, daemon.state.clock() + 30.0)
     daemon.state.on_work_sent()
 
 
--- a/tests/test_region_placement.py
+++ b/tests/test_region_placement.py
@@ -7,13 +7,13 @@
 
 from tests.test_relay_placement import SCOPE, fleet_of, prompt
 from winchfork.core.part_index import PartIndex, shared_keys
-from winchfork.core.placement_request import CacheStoreChoice, PromptPlacement, RelayDecision
+from winchfork.core.placement_request import CacheStoreChoice, PromptPlacementRequest, RelayDecision
 from winchfork.core.region_delay import PRIOR_ROUND_TRIP_S, RegionDelay
 from winchfork.core.region_map import Distance, RegionMap
 from winchfork.core.relay_placement import place_prompt
 from winchfork.core.relay_replica import RelayReplica
 from winchfork.core.routing import CacheStore, EngineProfile, RoutingTable, Service
-from winchfork.core.task_placement import TaskPlacement, place_task
+from winchfork.core.task_placement import TaskPlacementRequest, place_task
 from winchfork.router.settings import RouterSettings
 from winchfork.router.state import RouterState
 
@@ -32,15 +32,15 @@
     zone: str = "a1",
     stores: dict[str, CacheStoreChoice] | None = None,
 ) -> RelayDecision:
-    request = PromptPlacement(
+    request = PromptPlacementRequest(
         prompt(family),
         SCOPE,
         zone,
         copy_tokens_per_s=COPY_RATE,
-        read_tokens_per_s=READ_RATE,
+        prefill_tokens_per_s=READ_RATE,
         stores=stores or {},
         regions=REGIONS,
-        crossing_s=CROSSING_S,
+        cross_region_cost_s=CROSSING_S,
     )
     sources = [*replicas, *(choice.store for choice in (stores or {}).values())]
     decision = place_prompt(request, replicas, sources, index or PartIndex())
@@ -77,7 +77,7 @@
         replicas = fleet_of(8, ZONES)
         for replica in replicas:
             if replica.listing.zone.startswith("a"):
-                replica.peer_unread_tokens = int(0.4 * READ_RATE)
+                replica.peer_pending_prefill_tokens = int(0.4 * READ_RATE)
         self.assertTrue(place(replicas).replica.listing.zone.startswith("b"))
 
     def test_a_region_without_replicas_is_served_by_the_other(self) -> None:
@@ -87,7 +87,7 @@
     def test_a_task_crosses_only_for_more_than_its_round_trip(self) -> None:
         replicas = fleet_of(2, ("a1", "b1"))
         replicas[0].in_flight = 8
-        task = TaskPlacement("a1", 0.0, REGIONS, crossing_s=0.03)
+        task = TaskPlacementRequest("a1", 0.0, REGIONS, cross_region_cost_s=0.03)
         near = place_task(task, replicas)
         assert near is not None
         self.assertEqual(near.replica.listing.zone, "a1")
@@ -104,11 +104,11 @@
         keys = shared_keys(SCOPE, prompt("f"), 1)
         for replica in replicas:
             if replica.listing.zone.startswith("b"):
-                index.note_held(keys, replica.order_hash, 1.0)
+                index.record_cached(keys, replica.order_hash, 1.0)
         decision = place(replicas, index)
         self.assertEqual(REGIONS.region_of(decision.replica.listing.zone), "a")
         self.assertIsNone(decision.copy_from)
-        self.assertEqual(decision.unread_tokens, prompt("f").prompt_tokens)
+        self.assertEqual(decision.prefill_tokens, prompt("f").prompt_tokens)
 
     def test_the_nearest_of_several_keepers_is_copied_from(self) -> None:
         replicas, index = fleet_of(8, ZONES), PartIndex()
@@ -116,8 +116,8 @@
         home = place(replicas).replica
         for replica in replicas:
             if replica is not home:
-                index.note_held(keys, replica.order_hash, 1.0)
-                replica.peer_unread_tokens = 100_000
+                index.record_cached(keys, replica.order_hash, 1.0)
+                replica.peer_pending_prefill_tokens = 100_000
         decision = place(replicas, index)
         self.assertIs(decision.replica, home)
         assert decision.copy_from is not None
--- a/tests/test_relay_fleet.py
+++ b/tests/test_relay_fleet.py
@@ -4,8 +4,8 @@
 
 import unittest
 
-from winchfork.core.relay_fleet import RelayFleet, StandingCause, StandingChange
-from winchfork.core.relay_replica import RelayReplica, ReplicaListing, Standing
+from winchfork.core.relay_fleet import RelayFleet, IncarnationChangeCause, IncarnationChange
+from winchfork.core.relay_replica import RelayReplica, ReplicaListing, IncarnationState
 
 
 def listing(replica_id: str, address: str = "a:1", **changes: object) -> ReplicaListing:
@@ -80,37 +80,37 @@
 
     def test_replicas_at_other_addresses_are_not_concerned(self) -> None:
         fleet = fleet_of(listing("i-1", "a:1"), listing("i-2", "a:2"))
-        fleet.note_other_answered(replica(fleet, "i-1"))
+        fleet.record_other_answered(replica(fleet, "i-1"))
         self.assertEqual(accepting(fleet), ["i-2"])
-        fleet.note_other_answered(replica(fleet, "i-2"), "i-1")
+        fleet.record_other_answered(replica(fleet, "i-2"), "i-1")
         self.assertEqual(accepting(fleet), [])
 
     def test_an_address_may_pass_to_another_service(self) -> None:
         fleet = fleet_of(listing("i-1"), listing("i-2", service="t"))
         self.assertEqual(accepting(fleet), ["i-2"])
-        fleet.note_other_answered(replica(fleet, "i-2"), "i-1")
+        fleet.record_other_answered(replica(fleet, "i-2"), "i-1")
         self.assertEqual(accepting(fleet), ["i-1"])
 
 
 class EvidenceTest(unittest.TestCase):
     def test_the_one_that_answers_is_in_place_and_the_one_asked_has_ended(self) -> None:
         fleet = fleet_of(listing("i-1"), listing("i-2"), listing("i-3"))
-        fleet.note_other_answered(replica(fleet, "i-3"), "i-1")
-        standings = [replica(fleet, f"i-{number}").standing for number in (1, 2, 3)]
-        self.assertEqual(standings, [Standing.IN_PLACE, Standing.DOUBTED, Standing.ENDED])
+        fleet.record_other_answered(replica(fleet, "i-3"), "i-1")
+        standings = [replica(fleet, f"i-{number}").incarnation_state for number in (1, 2, 3)]
+        self.assertEqual(standings, [IncarnationState.CURRENT, IncarnationState.SUSPECT, IncarnationState.ENDED])
 
     def test_where_the_id_is_not_known_the_next_gets_its_turn(self) -> None:
         fleet = fleet_of(listing("i-1"), listing("i-2"), listing("i-3"))
-        fleet.note_other_answered(replica(fleet, "i-3"))
+        fleet.record_other_answered(replica(fleet, "i-3"))
         self.assertEqual(accepting(fleet), ["i-2"])
-        fleet.note_other_answered(replica(fleet, "i-2"))
+        fleet.record_other_answered(replica(fleet, "i-2"))
         self.assertEqual(accepting(fleet), ["i-1"])
 
     def test_one_that_has_ended_gets_no_turn_again(self) -> None:
         """Neither when the one after it ends, nor when that is gone, nor when it is listed anew."""
         fleet = fleet_of(listing("i-1"), listing("i-2"))
-        fleet.note_other_answered(replica(fleet, "i-1"), "i-2")
-        fleet.note_other_answered(replica(fleet, "i-2"))
+        fleet.record_other_answered(replica(fleet, "i-1"), "i-2")
+        fleet.record_other_answered(replica(fleet, "i-2"))
         self.assertEqual(accepting(fleet), [])
         fleet.install(listing("i-1", slots=4))
         self.assertEqual(accepting(fleet), [])
@@ -120,27 +120,27 @@
 
     def test_an_answer_that_is_read_late_is_put_right_by_the_next(self) -> None:
         fleet = fleet_of(listing("i-old"), listing("i-new"))
-        fleet.note_other_answered(replica(fleet, "i-new"), "i-old")
+        fleet.record_other_answered(replica(fleet, "i-new"), "i-old")
         self.assertEqual(accepting(fleet), ["i-old"])
-        fleet.note_other_answered(replica(fleet, "i-old"), "i-new")
+        fleet.record_other_answered(replica(fleet, "i-old"), "i-new")
         self.assertEqual(accepting(fleet), ["i-new"])
-        self.assertEqual(replica(fleet, "i-old").standing, Standing.ENDED)
+        self.assertEqual(replica(fleet, "i-old").incarnation_state, IncarnationState.ENDED)
 
     def test_one_that_answers_as_itself_lives(self) -> None:
         fleet = fleet_of(listing("i-living"), listing("i-late"))
-        fleet.note_answered(replica(fleet, "i-living"))
+        fleet.record_answer(replica(fleet, "i-living"))
         self.assertEqual(accepting(fleet), ["i-living"])
-        self.assertEqual(replica(fleet, "i-late").standing, Standing.DOUBTED)
+        self.assertEqual(replica(fleet, "i-late").incarnation_state, IncarnationState.SUSPECT)
 
     def test_a_success_that_is_read_late_ends_no_successor(self) -> None:
         fleet = fleet_of(listing("i-old"), listing("i-new"))
-        fleet.note_answered(replica(fleet, "i-old"))
-        fleet.note_other_answered(replica(fleet, "i-old"))
+        fleet.record_answer(replica(fleet, "i-old"))
+        fleet.record_other_answered(replica(fleet, "i-old"))
         self.assertEqual(accepting(fleet), ["i-new"])
 
     def test_the_answer_of_one_that_is_not_listed_yet_ends_the_one_that_was_asked(self) -> None:
         fleet = fleet_of(listing("i-1"))
-        fleet.note_other_answered(replica(fleet, "i-1"), "i-2")
+        fleet.record_other_answered(replica(fleet, "i-1"), "i-2")
         self.assertEqual(accepting(fleet), [])
         fleet.install(listing("i-2"))
         self.assertEqual(accepting(fleet), ["i-2"])
@@ -149,30 +149,30 @@
         fleet = fleet_of(listing("i-gone"), listing("i-1"), listing("i-2"))
         gone = replica(fleet, "i-gone")
         fleet.remove("i-gone")
-        fleet.note_other_answered(gone, "i-1")
+        fleet.record_other_answered(gone, "i-1")
         self.assertEqual(accepting(fleet), ["i-1"])
 
     def test_each_change_is_told_once_with_its_cause(self) -> None:
-        told: list[tuple[str, Standing, StandingCause, str]] = []
+        told: list[tuple[str, IncarnationState, IncarnationChangeCause, str]] = []
 
-        def tell(change: StandingChange) -> None:
+        def tell(change: IncarnationChange) -> None:
             item = change.replica
-            told.append((item.replica_id, item.standing, change.cause, change.by))
+            told.append((item.replica_id, item.incarnation_state, change.cause, change.current_id))
 
         fleet = RelayFleet()
-        fleet.on_standing = tell
+        fleet.on_incarnation_change = tell
         for replica_id in ("i-1", "i-2", "i-2"):
             fleet.install(listing(replica_id))
-        fleet.note_other_answered(replica(fleet, "i-2"), "i-1")
-        fleet.note_other_answered(replica(fleet, "i-2"), "i-1")
-        fleet.note_answered(replica(fleet, "i-1"))
-        other = StandingCause.OTHER_ANSWERED
+        fleet.record_other_answered(replica(fleet, "i-2"), "i-1")
+        fleet.record_other_answered(replica(fleet, "i-2"), "i-1")
+        fleet.record_answer(replica(fleet, "i-1"))
+        other = IncarnationChangeCause.OTHER_ANSWERED
         self.assertEqual(
             told,
             [
-                ("i-1", Standing.DOUBTED, StandingCause.LISTED, "i-2"),
-                ("i-2", Standing.ENDED, other, "i-1"),
-                ("i-1", Standing.IN_PLACE, other, "i-1"),
+                ("i-1", IncarnationState.SUSPECT, IncarnationChangeCause.LISTED, "i-2"),
+                ("i-2", IncarnationState.ENDED, other, "i-1"),
+                ("i-1", IncarnationState.CURRENT, other, "i-1"),
             ],
         )
 
@@ -189,7 +189,7 @@
         known = replica(fleet, "i")
         fleet.install(listing("i", accepting=False))
         self.assertIs(replica(fleet, "i"), known)
-        self.assertEqual((known.listing.born_ms, known.listing.accepting), (2_000, False))
+        self.assertEqual((known.listing.started_at_ms, known.listing.accepting), (2_000, False))
 
     def test_lives_under_one_id_have_names_of_their_own_among_peers(self) -> None:
         lives = {listing("i", born_ms=born_ms).incarnation for born_ms in (0, 1_000, 2_000)}
--- a/tests/test_relay_placement.py
+++ b/tests/test_relay_placement.py
@@ -7,16 +7,16 @@
 
 from winchfork.core.cached_parts_backlog import CachedPartsBacklog
 from winchfork.core.part_index import PartIndex, part_key
-from winchfork.core.placement_request import CacheStoreChoice, PromptPlacement
-from winchfork.core.prompt_cost import spread_cost_s
+from winchfork.core.placement_request import CacheStoreChoice, PromptPlacementRequest
+from winchfork.core.prompt_cost import max_jitter_s
 from winchfork.core.prompt_parts import CacheScope, Prompt, PromptPart
 from winchfork.core.relay_fleet import RelayFleet
 from winchfork.core.relay_placement import place_prompt
 from winchfork.core.relay_replica import EJECTION_S, FAILURES_TO_EJECT, RelayReplica, ReplicaListing
 from winchfork.core.rendezvous import member_hash
-from winchfork.core.task_placement import TaskPlacement, place_task
+from winchfork.core.task_placement import TaskPlacementRequest, place_task
 
-SCOPE = CacheScope.of("t", False, "m")
+SCOPE = CacheScope.for_tenant("t", False, "m")
 COPY_RATE = 800_000.0
 READ_RATE = 40_000.0
 
@@ -39,7 +39,7 @@
 ) -> RelayReplica:
     fields: dict[str, object] = {"zone": "z1", "copy_tokens_per_s": COPY_RATE}
     fields.update(changes)
-    placement = PromptPlacement(request, SCOPE, **fields)  # type: ignore[arg-type]
+    placement = PromptPlacementRequest(request, SCOPE, **fields)  # type: ignore[arg-type]
     decision = place_prompt(placement, replicas, replicas, index)
     assert decision is not None
     return decision.replica
@@ -57,21 +57,21 @@
         """Twenty streams cut by one reset left a sound replica alone for eight seconds."""
         replica = fleet_of(1)[0]
         for _ in range(20):
-            replica.note_failure(100.0)
-        self.assertEqual(replica.avoided_until_s, 100.0 + EJECTION_S)
+            replica.record_failure(100.0)
+        self.assertEqual(replica.ejected_until_s, 100.0 + EJECTION_S)
 
     def test_ejections_in_a_row_grow_until_a_success(self) -> None:
         replica = fleet_of(1)[0]
         for _ in range(FAILURES_TO_EJECT):
-            replica.note_failure(0.0)
-        replica.note_failure(10.0)
-        self.assertEqual(replica.avoided_until_s, 10.0 + 2 * EJECTION_S)
-        replica.note_success(0.1, 20.0)
-        self.assertFalse(replica.note_failure(21.0))
+            replica.record_failure(0.0)
+        replica.record_failure(10.0)
+        self.assertEqual(replica.ejected_until_s, 10.0 + 2 * EJECTION_S)
+        replica.record_success(0.1, 20.0)
+        self.assertFalse(replica.record_failure(21.0))
 
     def test_a_certain_failure_needs_no_repetition(self) -> None:
         replica = fleet_of(1)[0]
-        self.assertTrue(replica.note_failure(5.0, certain=True))
+        self.assertTrue(replica.record_failure(5.0, certain=True))
 
     def test_a_heartbeat_keeps_evidence_and_never_lowers_a_version(self) -> None:
         fleet = RelayFleet()
@@ -109,16 +109,16 @@
         replicas, index = fleet_of(3), PartIndex()
         request = prompt("f")
         home = placed(request, replicas, index)
-        keys = [part_key(SCOPE.namespace(1), part) for part in request.shared]
-        index.note_held(keys, home.order_hash, 1.0)
+        keys = [part_key(SCOPE.namespace(1), part) for part in request.shared_parts]
+        index.record_cached(keys, home.order_hash, 1.0)
         self.assertIs(placed(request, replicas, index), home)
-        home.unread_tokens = 20_000
-        placement = PromptPlacement(request, SCOPE, "z1", copy_tokens_per_s=COPY_RATE)
+        home.pending_prefill_tokens = 20_000
+        placement = PromptPlacementRequest(request, SCOPE, "z1", copy_tokens_per_s=COPY_RATE)
         decision = place_prompt(placement, replicas, replicas, index)
         assert decision is not None
         self.assertIsNot(decision.replica, home)
         self.assertIs(decision.copy_from, home)
-        self.assertEqual(decision.unread_tokens, 400)
+        self.assertEqual(decision.prefill_tokens, 400)
 
     def test_long_answers_gather_only_as_far_as_there_are_slots(self) -> None:
         """Grown hyt-kathmandu: on replicas of 16 slots, runs of 0.3 s took 1.2 s in the median."""
@@ -140,7 +140,7 @@
         chosen = [placed(prompt(f"f{n}"), replicas, index, old_versions=old) for n in range(20)]
         self.assertEqual({replica.versions["m"] for replica in chosen}, {2})
         for replica in replicas[:2]:
-            replica.unread_tokens = 20_000
+            replica.pending_prefill_tokens = 20_000
         self.assertEqual(placed(request, replicas, index, old_versions=old).versions["m"], 1)
 
     def test_daemons_that_have_not_heard_of_each_other_spread_long_answers(self) -> None:
@@ -156,24 +156,24 @@
                 index,
                 run_s=0.4,
                 zone=("z1", "z2", "z3")[number % 3],
-                spread_s=spread_cost_s(hint, 79, READ_RATE),
+                spread_s=max_jitter_s(hint, 79, READ_RATE),
                 spread_key=member_hash(f"request {number}"),
             ).replica_id
             for number in range(36)
         )
         self.assertLessEqual(max(chosen.values()), 11)
         self.assertGreaterEqual(len(chosen), 6)
-        self.assertEqual(spread_cost_s(hint, 10, READ_RATE), 0.0)
+        self.assertEqual(max_jitter_s(hint, 10, READ_RATE), 0.0)
 
     def test_daemons_spread_large_prompts_over_replicas_that_have_just_come_back(self) -> None:
         """Lines of 04d5f11d: 43 thousand tokens queued unheard half a second after a load."""
         replicas, index = fleet_of(12, ("z1", "z2", "z3")), PartIndex()
         for replica in replicas[:8]:
-            replica.peer_unread_tokens = 8_000
+            replica.peer_pending_prefill_tokens = 8_000
         chosen: Counter[str] = Counter()
         for number in range(48):
             request = prompt(f"f{number}", own_tokens=2900)
-            key, spread_s = member_hash(f"request {number}"), spread_cost_s(request, 79, READ_RATE)
+            key, spread_s = member_hash(f"request {number}"), max_jitter_s(request, 79, READ_RATE)
             replica = placed(request, replicas, index, spread_key=key, spread_s=spread_s)
             chosen[replica.replica_id] += 1
         self.assertLessEqual(max(chosen.values()), 14)
@@ -208,27 +208,27 @@
     def test_beliefs_under_other_weights_count_for_nothing(self) -> None:
         replicas, index = fleet_of(3), PartIndex()
         request = prompt("f")
-        keys = [part_key(SCOPE.namespace(1), part) for part in request.shared]
+        keys = [part_key(SCOPE.namespace(1), part) for part in request.shared_parts]
         for replica in replicas:
-            index.note_held(keys, replica.order_hash, 1.0)
+            index.record_cached(keys, replica.order_hash, 1.0)
             replica.versions["m"] = 2
-        placement = PromptPlacement(request, SCOPE, "z1", copy_tokens_per_s=COPY_RATE)
+        placement = PromptPlacementRequest(request, SCOPE, "z1", copy_tokens_per_s=COPY_RATE)
         decision = place_prompt(placement, replicas, replicas, index)
         assert decision is not None
-        self.assertEqual((decision.kept_tokens, decision.copy_from), (0, None))
+        self.assertEqual((decision.cached_tokens, decision.copy_from), (0, None))
 
     def test_new_parts_are_saved_and_kept_ones_are_named_from_the_store(self) -> None:
         replicas, index = fleet_of(3), PartIndex()
         store = fleet_of(9)[8]
         request = prompt("f")
-        placement = PromptPlacement(
+        placement = PromptPlacementRequest(
             request, SCOPE, "z1", copy_tokens_per_s=COPY_RATE, stores=store_choices(store)
         )
         first = place_prompt(placement, replicas, [*replicas, store], index)
         assert first is not None
         self.assertIs(first.save_to, store)
-        keys = [part_key(SCOPE.namespace(1), part) for part in request.shared]
-        index.note_held(keys, store.order_hash, 1.0)
+        keys = [part_key(SCOPE.namespace(1), part) for part in request.shared_parts]
+        index.record_cached(keys, store.order_hash, 1.0)
         second = place_prompt(placement, replicas, [*replicas, store], index)
         assert second is not None
         self.assertIsNone(second.save_to)
@@ -248,9 +248,9 @@
         """Shifted hyt-kathmandu: three prompts in a row held running answers up for over 600 ms."""
         replicas, index = fleet_of(2), PartIndex()
         busy, calm = replicas
-        busy.unread_tokens = calm.unread_tokens = 12_000
+        busy.pending_prefill_tokens = calm.pending_prefill_tokens = 12_000
         busy.in_flight = 4
-        calm.unread_tokens += 3_000
+        calm.pending_prefill_tokens += 3_000
         request = prompt("f", own_tokens=4_000)
         self.assertIs(placed(request, replicas, index), busy)
         self.assertIs(placed(request, replicas, index, gap_target_s=0.6), calm)
@@ -265,7 +265,7 @@
         self.assertIs(placed(short, replicas, index, run_s=0.4, connected=connected), other)
         other.in_flight = 12
         self.assertIsNot(placed(short, replicas, index, run_s=0.4, connected=connected), other)
-        task = TaskPlacement("z1", 0.0, connected=frozenset({replicas[3].order_hash}))
+        task = TaskPlacementRequest("z1", 0.0, connected=frozenset({replicas[3].order_hash}))
         chosen = place_task(task, replicas[:4])
         assert chosen is not None
         self.assertIs(chosen.replica, replicas[3])
@@ -278,27 +278,27 @@
         self.assertIs(placed(request, replicas, index, connected=others), home)
 
     def test_nothing_is_placed_without_candidates(self) -> None:
-        placement = PromptPlacement(prompt("f"), SCOPE, "z1")
+        placement = PromptPlacementRequest(prompt("f"), SCOPE, "z1")
         self.assertIsNone(place_prompt(placement, [], [], PartIndex()))
-        self.assertIsNone(place_task(TaskPlacement("z1", 0.0), []))
+        self.assertIsNone(place_task(TaskPlacementRequest("z1", 0.0), []))
 
 
 class TaskPlacementTest(unittest.TestCase):
     def test_near_first_and_the_busy_and_the_slow_are_avoided(self) -> None:
         replicas = fleet_of(3, ("z1", "z2", "z3"))
-        near = place_task(TaskPlacement("z1", 100.0), replicas)
+        near = place_task(TaskPlacementRequest("z1", 100.0), replicas)
         assert near is not None
         self.assertEqual(near.replica.listing.zone, "z1")
         near.replica.in_flight = 16
-        busy = place_task(TaskPlacement("z1", 100.0), replicas)
+        busy = place_task(TaskPlacementRequest("z1", 100.0), replicas)
         assert busy is not None
         self.assertNotEqual(busy.replica.listing.zone, "z1")
         near.replica.in_flight = 0
-        near.replica.note_success(0.8, 100.0)
-        slow = place_task(TaskPlacement("z1", 100.5), replicas)
+        near.replica.record_success(0.8, 100.0)
+        slow = place_task(TaskPlacementRequest("z1", 100.5), replicas)
         assert slow is not None
         self.assertNotEqual(slow.replica.listing.zone, "z1")
-        again = place_task(TaskPlacement("z1", 110.0), replicas)
+        again = place_task(TaskPlacementRequest("z1", 110.0), replicas)
         assert again is not None
         self.assertEqual(again.replica.listing.zone, "z1")
 
@@ -307,15 +307,15 @@
     def test_the_oldest_parts_are_forgotten_first(self) -> None:
         index = PartIndex(capacity=3)
         for key in (1, 2, 3):
-            index.note_held([key], 7, 1.0)
-        index.note_held([1], 7, 2.0)
-        index.note_held([4], 7, 3.0)
-        self.assertEqual([index.kept_parts([key], 7) for key in (1, 2, 3, 4)], [1, 0, 1, 1])
+            index.record_cached([key], 7, 1.0)
+        index.record_cached([1], 7, 2.0)
+        index.record_cached([4], 7, 3.0)
+        self.assertEqual([index.cached_part_count([key], 7) for key in (1, 2, 3, 4)], [1, 0, 1, 1])
 
     def test_a_replica_that_has_ended_keeps_nothing(self) -> None:
         index = PartIndex()
-        index.note_held([1, 2], 7, 1.0)
-        index.note_held([2], 8, 1.0)
+        index.record_cached([1, 2], 7, 1.0)
+        index.record_cached([2], 8, 1.0)
         index.drop_replica(7)
-        self.assertEqual((index.kept_parts([1], 7), index.kept_parts([2], 8)), (0, 1))
+        self.assertEqual((index.cached_part_count([1], 7), index.cached_part_count([2], 8)), (0, 1))
         self.assertEqual(len(index), 1)
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -102,7 +102,7 @@
         replica = ScriptedReplica(answering(other_version), answering(stream))
         relay = await self.relay(replica, kind=RouteKind.STREAMING, max_attempts=1)
         relay.state.versions["m"] = VersionHistory()
-        relay.state.versions["m"].note(2, relay.state.clock())
+        relay.state.versions["m"].add(2, relay.state.clock())
         answer = await relay.ask(method="POST", extra=ENGINE)
         self.assertEqual((answer.status, answer.body), (200, event(1)))
         self.assertEqual(replica.seen[1].headers["x-expected-version"], "2")
@@ -127,7 +127,7 @@
         relay = await self.relay(replica, kind=RouteKind.STREAMING, max_attempts=1)
         relay.state.versions["m"] = VersionHistory()
         for version in (2, 3, 4, 5):
-            relay.state.versions["m"].note(version, relay.state.clock())
+            relay.state.versions["m"].add(version, relay.state.clock())
         self.assert_not_run(await relay.ask(method="POST", extra=ENGINE))
         answer = await relay.ask("id-2", method="POST", extra=ENGINE)
         self.assertEqual((answer.status, answer.body), (200, event(1)))
@@ -149,7 +149,7 @@
 
         async def acquire_late(address: str, limit: int) -> ReplicaConnection | Failure:
             connection = await acquire(address, limit)
-            history.note(2, relay.state.clock() - relay.state.settings.bounds.weights_s)
+            history.add(2, relay.state.clock() - relay.state.settings.bounds.weights_s)
             return connection
 
         relay.pool.acquire = acquire_late  # type: ignore[method-assign]
@@ -183,7 +183,7 @@
         replica = ScriptedReplica(answering(misdirected))
         relay = await self.relay(replica, kind=RouteKind.STREAMING, max_attempts=2)
         relay.state.versions["m"] = VersionHistory()
-        relay.state.versions["m"].note(2, relay.state.clock())
+        relay.state.versions["m"].add(2, relay.state.clock())
         self.assert_not_run(await relay.ask(method="POST", extra=ENGINE))
         self.assertEqual(len(replica.seen), 1)
         self.assert_not_run(await relay.ask("id-2", method="POST", extra=ENGINE))
@@ -255,7 +255,7 @@
         replica = ScriptedReplica(refuse_after_the_entry)
         relay = await self.relay(replica, kind=RouteKind.STREAMING, max_attempts=1)
         relay.state.versions["m"] = VersionHistory()
-        relay.state.versions["m"].note(1, relay.state.clock())
+        relay.state.versions["m"].add(1, relay.state.clock())
         running = asyncio.create_task(relay.ask(method="POST", extra=ENGINE))
         while not replica.seen and not running.done():
             await asyncio.sleep(0)
--- a/tests/test_replica_notices.py
+++ b/tests/test_replica_notices.py
@@ -30,7 +30,7 @@
 )
 from winchfork.core.relay_replica import RelayReplica, ReplicaListing
 from winchfork.core.replica_notice import (
-    RETURN_SPREAD_SHARE,
+    BACKOFF_JITTER_SHARE,
     AnswerNotice,
 )
 from winchfork.core.routing import RouteKind
@@ -210,7 +210,7 @@
         relay.state.fleet.remove("i-0")
         born_ms = int((relay.state.notices.wall_clock() - started_s_ago) * 1000)
         listing = ReplicaListing(
-            "i-0", "s", replica.address, "z1", 8, True, {"m": 1}, born_ms=born_ms
+            "i-0", "s", replica.address, "z1", 8, True, {"m": 1}, started_at_ms=born_ms
         )
         relay.state.install_listing(listing)
 
@@ -257,7 +257,7 @@
         resting = turned_away()
         relay = await self.relay(resting, sound())
         await self.ask(relay)
-        self.pass_time(relay, REST_S * (1.0 + RETURN_SPREAD_SHARE))
+        self.pass_time(relay, REST_S * (1.0 + BACKOFF_JITTER_SHARE))
         answers = await asyncio.gather(*(relay.ask(f"burst-{number}") for number in range(5)))
         self.assertEqual([answer.status for answer in answers], [200] * 5)
         self.assertEqual(len(resting.seen), 2)
@@ -268,7 +268,7 @@
         )
         relay = await self.relay(resting, sound())
         await self.ask(relay)
-        self.pass_time(relay, REST_S * (1.0 + RETURN_SPREAD_SHARE))
+        self.pass_time(relay, REST_S * (1.0 + BACKOFF_JITTER_SHARE))
         await self.ask(relay, 6)
         self.assertEqual(len(resting.seen), 7)
 
--- a/tests/test_request_limit.py
+++ b/tests/test_request_limit.py
@@ -23,7 +23,7 @@
     def test_decimal_numbers_are_limits(self) -> None:
         for value, per_s in (("3", 3.0), ("0.5", 0.5), (" 3 ", 3.0), ("3.0", 3.0), ("0", 0.0)):
             notice = read(value)
-            self.assertEqual((notice.limit_per_s, notice.names_limit), (per_s, True), value)
+            self.assertEqual((notice.limit_per_s, notice.has_limit), (per_s, True), value)
             self.assertFalse(notice.unreadable)
         self.assertEqual(read("3", name="sERVER-lIMIT").limit_per_s, 3.0)
 
@@ -36,32 +36,32 @@
             with self.subTest(value):
                 notice = read(value)
                 self.assertIsNone(notice.limit_per_s)
-                self.assertTrue(notice.names_limit)
+                self.assertTrue(notice.has_limit)
                 self.assertIn("Server-Limit holds", notice.unreadable)
         self.assertEqual(read("many, 4").limit_per_s, 4.0)
 
     def test_no_header_names_none(self) -> None:
-        self.assertFalse(read("3", name="X-Limit").names_limit)
+        self.assertFalse(read("3", name="X-Limit").has_limit)
 
     def test_a_word_that_is_not_known_is_told_by_name(self) -> None:
-        self.assertEqual(read("1", name="Server-Mood").unknown, ("server-mood",))
+        self.assertEqual(read("1", name="Server-Mood").unknown_names, ("server-mood",))
         for name in ("Server-Leaving", "Server-Limit", "Server-Timing", "Server", "X-Server-Id"):
-            self.assertEqual(read("1", name=name).unknown, (), name)
+            self.assertEqual(read("1", name=name).unknown_names, (), name)
 
 
 class RequestLimitTest(unittest.TestCase):
     def test_it_begins_changes_and_ends(self) -> None:
         limit = RequestLimit()
-        self.assertIs(limit.name(3.0, heard_s=10.0), LimitChange.BEGUN)
-        self.assertIs(limit.name(3.0, heard_s=11.0), LimitChange.NOTHING)
-        self.assertIs(limit.name(1.0, heard_s=12.0), LimitChange.CHANGED)
-        self.assertIs(limit.end(heard_s=13.0), LimitChange.ENDED)
-        self.assertIs(limit.end(heard_s=14.0), LimitChange.NOTHING)
+        self.assertIs(limit.update(3.0, received_at_s=10.0), LimitChange.BEGUN)
+        self.assertIs(limit.update(3.0, received_at_s=11.0), LimitChange.NOTHING)
+        self.assertIs(limit.update(1.0, received_at_s=12.0), LimitChange.CHANGED)
+        self.assertIs(limit.clear(received_at_s=13.0), LimitChange.ENDED)
+        self.assertIs(limit.clear(received_at_s=14.0), LimitChange.NOTHING)
         self.assertIsNone(limit.per_s)
 
     def test_an_answer_that_was_asked_for_before_the_word_ends_nothing(self) -> None:
         limit = RequestLimit()
-        limit.name(3.0, heard_s=10.0)
+        limit.update(3.0, received_at_s=10.0)
         self.assertFalse(limit.may_be_ended_by_answer(sent_s=9.9))
         self.assertTrue(limit.may_be_ended_by_answer(sent_s=10.1))
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -14,7 +14,7 @@
     RoutingTable,
     Service,
     ServiceShare,
-    SplitChooser,
+    TrafficSplitter,
     TenantPolicy,
 )
 from winchfork.router.settings import RouterSettings
@@ -62,7 +62,7 @@
 class SplitTest(unittest.TestCase):
     def test_every_run_of_requests_keeps_to_the_weights(self) -> None:
         split = route("r", "h", "/", shares=(ServiceShare("a", 90), ServiceShare("b", 10)))
-        chooser = SplitChooser()
+        chooser = TrafficSplitter()
         chosen = [chooser.choose(split) for _ in range(200)]
         for start in range(150):
             window = Counter(chosen[start : start + 50])
@@ -70,12 +70,12 @@
 
     def test_a_part_of_weight_zero_gets_nothing(self) -> None:
         split = route("r", "h", "/", shares=(ServiceShare("a", 1), ServiceShare("b", 0)))
-        chooser = SplitChooser()
+        chooser = TrafficSplitter()
         self.assertEqual({chooser.choose(split) for _ in range(50)}, {"a"})
 
     def test_routes_that_are_gone_are_forgotten(self) -> None:
         split = route("r", "h", "/", shares=(ServiceShare("a", 1), ServiceShare("b", 1)))
-        chooser = SplitChooser()
+        chooser = TrafficSplitter()
         chooser.choose(split)
         chooser.forget_except([])
         self.assertEqual(chooser.choose(split), "a")
@@ -84,15 +84,15 @@
 class CacheScopeTest(unittest.TestCase):
     def test_isolated_tenants_and_versions_never_share_a_namespace(self) -> None:
         names = {
-            CacheScope.of("a", True, "m").namespace(1),
-            CacheScope.of("b", True, "m").namespace(1),
-            CacheScope.of("a", False, "m").namespace(1),
-            CacheScope.of("a", False, "m").namespace(2),
-            CacheScope.of("a", False, "n").namespace(2),
+            CacheScope.for_tenant("a", True, "m").namespace(1),
+            CacheScope.for_tenant("b", True, "m").namespace(1),
+            CacheScope.for_tenant("a", False, "m").namespace(1),
+            CacheScope.for_tenant("a", False, "m").namespace(2),
+            CacheScope.for_tenant("a", False, "n").namespace(2),
         }
         self.assertEqual(len(names), 5)
-        shared = CacheScope.of("a", False, "m").namespace(1)
-        self.assertEqual(shared, CacheScope.of("b", False, "m").namespace(1))
+        shared = CacheScope.for_tenant("a", False, "m").namespace(1)
+        self.assertEqual(shared, CacheScope.for_tenant("b", False, "m").namespace(1))
 
     def test_the_family_is_the_last_shared_part(self) -> None:
         parts = (PromptPart("h", 10), PromptPart("s", 20), PromptPart("own", 5))
--- a/tests/test_software_failures.py
+++ b/tests/test_software_failures.py
@@ -182,7 +182,7 @@
             for replica in daemon.state.fleet.of_service(SERVICE)
             if replica.listing.software == "v1"
         )
-        old.note_sent(LONG_ANSWER, 0, fleet.now_s() + LONG_DURATION_S)
+        old.record_sent(LONG_ANSWER, 0, fleet.now_s() + LONG_DURATION_S)
 
     def completed_beside_unheard_work(self, *, cut_leader: bool) -> float:
         """Return when a move was completed, a daemon cut off that has work on the old version.
--- a/tests/test_store_sync.py
+++ b/tests/test_store_sync.py
@@ -298,11 +298,11 @@
             followed = Followed(store)
             await asyncio.sleep(0.5)
             history = followed.state.versions["daka510000"]
-            self.assertLessEqual(history.due_s(1, 8.0) - followed.state.clock(), 3.0)
+            self.assertLessEqual(history.expires_at_s(1, 8.0) - followed.state.clock(), 3.0)
             later = json.dumps({"Model": "daka510000", "Version": 3}).encode()
             store.put("op/version/daka510000", later)
             await asyncio.sleep(0.2)
-            self.assertGreater(history.due_s(2, 8.0) - followed.state.clock(), 7.0)
+            self.assertGreater(history.expires_at_s(2, 8.0) - followed.state.clock(), 7.0)
 
         run_virtually(main())
 
@@ -317,6 +317,6 @@
             store.down = False
             await asyncio.sleep(1.0)
             history = followed.state.versions["daka510000"]
-            self.assertGreater(history.due_s(1, 8.0) - followed.state.clock(), 6.9)
+            self.assertGreater(history.expires_at_s(1, 8.0) - followed.state.clock(), 6.9)
 
         run_virtually(main())
--- a/tests/test_stream_moves.py
+++ b/tests/test_stream_moves.py
@@ -65,7 +65,7 @@
         relay = await self.relay(late, sound, kind=RouteKind.STREAMING, **route)
         history = relay.state.versions["m"] = VersionHistory()
         bound_s = relay.state.settings.bounds.weights_s
-        history.note(2, relay.state.clock() - bound_s + BEGIN_MARGIN_S + 0.3)
+        history.add(2, relay.state.clock() - bound_s + BEGIN_MARGIN_S + 0.3)
         for replica in relay.state.fleet.replicas():
             if replica.listing.address == sound.address:
                 replica.versions["m"] = 2
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -161,8 +161,8 @@
             relay.configure()
             state = relay.state
             history = state.versions.setdefault("m", VersionHistory())
-            history.note(1, state.clock() - 100.0)
-            history.note(2, state.clock())
+            history.add(1, state.clock() - 100.0)
+            history.add(2, state.clock())
             bound_s = state.settings.bounds.weights_s
             stand_still(seconds)
             over = state.choice.weights_due_s("m", 1) <= state.clock()
--- a/tests/test_told_pauses.py
+++ b/tests/test_told_pauses.py
@@ -13,7 +13,7 @@
 from tests.limit_fleet import LimitedReplica
 from tests.peer_support import Daemon, Network, among
 from winchfork.core.peer_reports import MAX_REMEMBERED, PeerReports
-from winchfork.core.replica_notice import DOUBTED_DRAINING_S, AnswerNotice
+from winchfork.core.replica_notice import UNCONFIRMED_DRAINING_S, AnswerNotice
 
 TOLD_WITHIN_S = 0.5
 PAUSE_S = 3.0
@@ -23,7 +23,7 @@
     def taking(self, replica: LimitedReplica) -> int:
         """Return how many daemons would send it a request now."""
         return sum(
-            replica.record(daemon).takes_requests(daemon.state.clock())
+            replica.replica_at(daemon).accepts_requests(daemon.state.clock())
             for daemon in replica.daemons
         )
 
@@ -32,7 +32,7 @@
             replica = LimitedReplica(network, daemons)
             first = daemons[0]
             asked = AnswerNotice(backoff_s=PAUSE_S)
-            first.state.notices.note(replica.record(first), asked)
+            first.state.notices.note(replica.replica_at(first), asked)
             await asyncio.sleep(TOLD_WITHIN_S)
             self.assertEqual(self.taking(replica), 0)
             await asyncio.sleep(PAUSE_S * 0.8)
@@ -47,10 +47,10 @@
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons)
             first = daemons[0]
-            first.state.notices.note(replica.record(first), AnswerNotice(draining=True))
+            first.state.notices.note(replica.replica_at(first), AnswerNotice(draining=True))
             await asyncio.sleep(TOLD_WITHIN_S)
             self.assertEqual(self.taking(replica), 0)
-            await asyncio.sleep(DOUBTED_DRAINING_S + 10.0)
+            await asyncio.sleep(UNCONFIRMED_DRAINING_S + 10.0)
             self.assertEqual(self.taking(replica), len(daemons) - 1)
 
         among(15, scenario)
@@ -59,7 +59,7 @@
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons)
             first = daemons[0]
-            first.state.notices.note(replica.record(first), AnswerNotice(backoff_s=1.0))
+            first.state.notices.note(replica.replica_at(first), AnswerNotice(backoff_s=1.0))
             await asyncio.sleep(TOLD_WITHIN_S)
             self.assertEqual(self.taking(replica), len(daemons) - 1)
 
@@ -69,7 +69,7 @@
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons)
             first = daemons[0]
-            first.state.notices.note(replica.record(first), AnswerNotice(backoff_s=2.0))
+            first.state.notices.note(replica.replica_at(first), AnswerNotice(backoff_s=2.0))
             await asyncio.sleep(1.0)
             first.kill(network)
             replica.daemons = daemons[1:]
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -7,7 +7,7 @@
 from tests.relay_case import RelayTestCase
 from tests.relay_support import ScriptedReplica, SeenRequest, answering, chunk, event, stream_head
 from winchfork.core.routing import RouteKind
-from winchfork.core.urgency import LEAST_URGENT, MOST_SET_BACK, urgency_level
+from winchfork.core.urgency import LOWEST_URGENCY, MAX_PENALTY_LEVELS, urgency_level
 
 
 class UrgencyLevelTest(unittest.TestCase):
@@ -19,8 +19,8 @@
         self.assertEqual(levels, [1, 2, 3, 4])
 
     def test_the_longest_are_set_back_so_far_and_no_further(self) -> None:
-        self.assertEqual(urgency_level(1, 100.0, 0.5), 1 + MOST_SET_BACK)
-        self.assertEqual(urgency_level(8, 100.0, 0.5), LEAST_URGENT)
+        self.assertEqual(urgency_level(1, 100.0, 0.5), 1 + MAX_PENALTY_LEVELS)
+        self.assertEqual(urgency_level(8, 100.0, 0.5), LOWEST_URGENCY)
 
     def test_a_route_without_an_aim_keeps_the_operators_priority(self) -> None:
         self.assertEqual(urgency_level(2, 1.0, 0.0), 2)
--- a/tests/test_version_evidence.py
+++ b/tests/test_version_evidence.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from winchfork.core.answer_rate import AnswerRate
-from winchfork.core.exposure import ExposureCredit, lane_of
+from winchfork.core.exposure import ExposureCredit, bucket_of
 from winchfork.core.software_plan import (
-    SPEND_WITHIN,
+    TRIAL_SPEND_TIME_SHARE,
     ExposureLimits,
     RolloutView,
     next_step,
@@ -24,10 +24,10 @@
     SoftwarePhase,
     SoftwareState,
     StopCause,
-    likely_in_force,
-    rule_of,
+    infer_in_force,
+    version_rule,
 )
-from winchfork.core.version_evidence import AnswerCounts, Evidence, Opinion, VersionTest
+from winchfork.core.version_evidence import AnswerCounts, Evidence, Assessment, VersionTest
 
 #: Share of failures of the old version, by route.
 ROUTES = {1: 0.01, 2: 0.14}
@@ -66,7 +66,7 @@
                 failed = self.generator.random() < worse
                 self.bad += failed
                 self.new[replica][route].add(AnswerCounts(1, int(failed)))
-        return self.test.judge(self.evidence) is not None
+        return self.test.evaluate(self.evidence) is not None
 
     def bad_until_alarm(self, looks: int = 200) -> int | None:
         """Return the bad answers that were seen when the alarm came; None if none came."""
@@ -82,7 +82,7 @@
         for seed in range(40):
             rollout = _Rollout(seed, lambda number, route, replica: 0.0)
             self.assertIsNone(rollout.bad_until_alarm(150), seed)
-            self.assertIs(rollout.test.opinion, Opinion.GOOD, seed)
+            self.assertIs(rollout.test.assessment, Assessment.GOOD, seed)
 
     def test_bad_versions_are_found_within_fifty_bad_answers(self) -> None:
         kinds = {
@@ -112,7 +112,7 @@
     def test_nothing_is_approved_by_little(self) -> None:
         rollout = _Rollout(1, lambda number, route, replica: 0.0)
         rollout.look(0)
-        self.assertIsNot(rollout.test.opinion, Opinion.GOOD)
+        self.assertIsNot(rollout.test.assessment, Assessment.GOOD)
 
 
 class PlanTest(unittest.TestCase):
@@ -131,7 +131,7 @@
             "everyone_heard": True,
             "new_answers": 0,
             "all_answers": 200,
-            "opinion": Opinion.OPEN,
+            "opinion": Assessment.INCONCLUSIVE,
             "stopped": None,
             "longest_run_s": 1.0,
         }
@@ -145,7 +145,7 @@
     def test_the_trial_spends_a_part_of_the_budget_by_the_requests_seen(self) -> None:
         state = self.running(SoftwarePhase.TRIAL, 0.05)
         share = trial_share(state, self.view(), self.LIMITS)
-        spent = share * 200.0 * (SPEND_WITHIN * 6.0 - 1.0)
+        spent = share * 200.0 * (TRIAL_SPEND_TIME_SHARE * 6.0 - 1.0)
         budget = 0.1 * 200.0 * 12.0 + 50.0
         self.assertAlmostEqual(spent, 0.25 * budget, delta=1.0)
         less = trial_share(state, self.view(new_answers=60), self.LIMITS)
@@ -153,15 +153,15 @@
 
     def test_nothing_moves_before_its_time_its_approval_and_its_capacity(self) -> None:
         state = self.running(SoftwarePhase.TRIAL, 0.05)
-        ready: dict[str, object] = {"elapsed_s": 6.1, "opinion": Opinion.GOOD, "stage_s": 0.2}
+        ready: dict[str, object] = {"elapsed_s": 6.1, "opinion": Assessment.GOOD, "stage_s": 0.2}
         step = next_step(state, self.view(**ready), self.LIMITS)
         assert step is not None
         self.assertIs(step.state.phase, SoftwarePhase.MOVING)
         lacks: tuple[dict[str, object], ...] = (
             {"elapsed_s": 3.0},
-            {"opinion": Opinion.OPEN, "all_answers": 1200, "new_answers": 60},
-            {"opinion": Opinion.PROBABLE, "all_answers": 1200, "new_answers": 60},
-            {"opinion": Opinion.DOUBTFUL},
+            {"opinion": Assessment.INCONCLUSIVE, "all_answers": 1200, "new_answers": 60},
+            {"opinion": Assessment.PROBABLE, "all_answers": 1200, "new_answers": 60},
+            {"opinion": Assessment.SUSPECT},
             {"new_slots": 500},
         )
         for lacking in lacks:
@@ -171,22 +171,22 @@
         """17 requests a second never show enough in a trial of some seconds."""
         state = self.running(SoftwarePhase.TRIAL, 0.3)
         few = {"elapsed_s": 7.0, "stage_s": 0.2, "all_answers": 60, "new_answers": 14}
-        step = next_step(state, self.view(**few, opinion=Opinion.PROBABLE), self.LIMITS)
+        step = next_step(state, self.view(**few, opinion=Assessment.PROBABLE), self.LIMITS)
         assert step is not None
         self.assertIs(step.state.phase, SoftwarePhase.MOVING)
-        for opinion in (Opinion.OPEN, Opinion.DOUBTFUL):
+        for opinion in (Assessment.INCONCLUSIVE, Assessment.SUSPECT):
             view = self.view(**few, opinion=opinion)
             self.assertIsNone(next_step(state, view, self.LIMITS), opinion)
 
     def test_three_good_answers_do_not_speak_for_a_version_and_ten_do(self) -> None:
         """Slow versions were put in force on 2 to 24 answers, where few requests came through."""
-        for answers, opinion in ((3, Opinion.OPEN), (10, Opinion.PROBABLE)):
+        for answers, opinion in ((3, Assessment.INCONCLUSIVE), (10, Assessment.PROBABLE)):
             test = VersionTest()
             old = {1: AnswerCounts(40, 0, 0)}
-            test.judge(Evidence(old, {7: {1: AnswerCounts(answers, 0, 0)}}))
-            self.assertIs(test.opinion, opinion, answers)
-        test.judge(Evidence(old, {7: {1: AnswerCounts(14, 0, 3)}}))
-        self.assertIs(test.opinion, Opinion.DOUBTFUL)
+            test.evaluate(Evidence(old, {7: {1: AnswerCounts(answers, 0, 0)}}))
+            self.assertIs(test.assessment, opinion, answers)
+        test.evaluate(Evidence(old, {7: {1: AnswerCounts(14, 0, 3)}}))
+        self.assertIs(test.assessment, Assessment.SUSPECT)
 
     def test_few_requests_that_faults_kept_away_are_no_reason_to_move(self) -> None:
         """A slow version got 85 of 156 requests where 66 are allowed, in a soak.
@@ -198,13 +198,13 @@
         state = self.running(SoftwarePhase.TRIAL, 0.3)
         few = {"elapsed_s": 7.0, "stage_s": 0.2, "all_answers": 40, "new_answers": 3}
         for per_s in (None, 25.0):
-            view = self.view(**few, recent_per_s=per_s, opinion=Opinion.PROBABLE)
+            view = self.view(**few, recent_per_s=per_s, opinion=Assessment.PROBABLE)
             self.assertIsNone(next_step(state, view, self.LIMITS), per_s)
 
     def test_a_version_that_moved_without_approval_gets_no_more_than_the_budget(self) -> None:
         state = self.running(SoftwarePhase.TRIAL, 0.3)
         few = {"elapsed_s": 7.0, "stage_s": 0.2, "all_answers": 60, "new_answers": 14}
-        moving = next_step(state, self.view(**few, opinion=Opinion.PROBABLE), self.LIMITS)
+        moving = next_step(state, self.view(**few, opinion=Assessment.PROBABLE), self.LIMITS)
         assert moving is not None
         spent = self.view(elapsed_s=9.0, stage_s=0.2, all_answers=150, new_answers=60)
         for phase in (SoftwarePhase.MOVING, SoftwarePhase.MOVED):
@@ -213,13 +213,13 @@
             assert step is not None
             self.assertIs(step.state.outcome, RolloutOutcome.ROLLED_BACK)
             self.assertEqual(step.state.judged_bad, ())
-            approved = msgspec.structs.replace(spent, opinion=Opinion.GOOD)
+            approved = msgspec.structs.replace(spent, opinion=Assessment.GOOD)
             self.assertIsNone(next_step(moved, approved, self.LIMITS))
 
     def test_a_version_that_was_approved_is_not_bound_by_the_budget(self) -> None:
         """A leader that has just taken over may know too little to approve it once more."""
         state = self.running(SoftwarePhase.TRIAL, 0.05)
-        ready = self.view(elapsed_s=6.1, opinion=Opinion.GOOD, stage_s=0.2)
+        ready = self.view(elapsed_s=6.1, opinion=Assessment.GOOD, stage_s=0.2)
         moving = next_step(state, ready, self.LIMITS)
         assert moving is not None
         open_again = self.view(elapsed_s=7.0, stage_s=0.2, all_answers=1400, new_answers=900)
@@ -228,13 +228,13 @@
     def test_a_rate_is_known_after_a_while_and_forgets_what_came_before(self) -> None:
         rate = AnswerRate()
         for tick in range(8):
-            rate.note(0, 0.1 * tick)
+            rate.record(0, 0.1 * tick)
         self.assertIsNone(rate.per_s)
         for tick in range(8, 40):
-            rate.note(2 * (tick - 8), 0.1 * tick)
+            rate.record(2 * (tick - 8), 0.1 * tick)
         assert rate.per_s is not None
         self.assertAlmostEqual(rate.per_s, 20.0, delta=0.5)
-        rate.note(1, 4.1)
+        rate.record(1, 4.1)
         self.assertIsNone(rate.per_s)
 
     def test_completed_waits_for_the_old_replicas_and_not_beyond_the_time_limit(self) -> None:
@@ -259,16 +259,16 @@
             )
             assert step is not None
             self.assertEqual(step.state.judged_bad, ("v2",))
-            self.assertEqual(rule_of(step.state, on_target=True).first, "v1")
+            self.assertEqual(version_rule(step.state, on_target=True).preferred, "v1")
 
 
 class ExposureTest(unittest.TestCase):
     def test_a_hot_family_gets_no_more_than_the_share(self) -> None:
-        hot = next(name for name in map(str, range(99)) if lane_of(name, 7) < 0.03)
+        hot = next(name for name in map(str, range(99)) if bucket_of(name, 7) < 0.03)
         credit, spent = ExposureCredit(0.5), 0
         for _ in range(10_000):
             credit.earn(0.03)
-            spent += credit.spend(lane_of(hot, 7), 0.03)
+            spent += credit.spend(bucket_of(hot, 7), 0.03)
         self.assertLessEqual(spent, 302)
 
     def test_starts_do_not_add_up(self) -> None:
@@ -283,9 +283,9 @@
 
     def test_the_version_of_most_replicas_is_in_force_but_never_the_target(self) -> None:
         listed = ["v1", "v1", "v2", "v2", "v2"]
-        self.assertEqual(likely_in_force(listed, listed), "v2")
-        self.assertEqual(likely_in_force(listed, listed, "v2"), "v1")
-        self.assertEqual(likely_in_force([], listed[:2]), "v1")
+        self.assertEqual(infer_in_force(listed, listed), "v2")
+        self.assertEqual(infer_in_force(listed, listed, "v2"), "v1")
+        self.assertEqual(infer_in_force([], listed[:2]), "v1")
 
 
 if __name__ == "__main__":
--- a/tests/test_weight_rollout.py
+++ b/tests/test_weight_rollout.py
@@ -6,7 +6,7 @@
 import unittest
 
 from winchfork.core.weight_rollout import (
-    MOST_REMEMBERED,
+    MAX_VERSIONS,
     LoadingReplica,
     LoadPace,
     VersionHistory,
@@ -30,79 +30,79 @@
 class VersionHistoryTest(unittest.TestCase):
     def test_a_version_is_due_a_bound_after_its_successor_was_named(self) -> None:
         history = VersionHistory()
-        history.note(2, 100.0)
-        history.note(4, 103.0)
-        self.assertEqual(history.due_s(1, 8.0), 108.0)
-        self.assertEqual(history.due_s(2, 8.0), 111.0)
-        self.assertEqual(history.due_s(4, 8.0), math.inf)
+        history.add(2, 100.0)
+        history.add(4, 103.0)
+        self.assertEqual(history.expires_at_s(1, 8.0), 108.0)
+        self.assertEqual(history.expires_at_s(2, 8.0), 111.0)
+        self.assertEqual(history.expires_at_s(4, 8.0), math.inf)
 
     def test_versions_never_go_back(self) -> None:
         history = VersionHistory()
-        self.assertTrue(history.note(3, 1.0))
-        self.assertFalse(history.note(3, 2.0))
-        self.assertFalse(history.note(2, 2.0))
+        self.assertTrue(history.add(3, 1.0))
+        self.assertFalse(history.add(3, 2.0))
+        self.assertFalse(history.add(2, 2.0))
         self.assertEqual(history.newest, 3)
 
     def test_a_peer_can_only_make_a_version_older(self) -> None:
         history = VersionHistory()
-        history.note(2, 100.0)
-        history.note_age(2, 104.0)
-        self.assertEqual(history.due_s(1, 8.0), 108.0)
-        history.note_age(2, 95.0)
-        self.assertEqual(history.due_s(1, 8.0), 103.0)
+        history.add(2, 100.0)
+        history.update_received_at(2, 104.0)
+        self.assertEqual(history.expires_at_s(1, 8.0), 108.0)
+        history.update_received_at(2, 95.0)
+        self.assertEqual(history.expires_at_s(1, 8.0), 103.0)
 
     def test_a_peers_word_goes_before_a_guess(self) -> None:
         history = VersionHistory()
-        history.note(2, 95.0, assumed=True)
-        history.note_age(2, 99.0)
-        self.assertEqual(history.due_s(1, 8.0), 107.0)
-        history.note_age(2, 99.5)
-        self.assertEqual(history.due_s(1, 8.0), 107.0)
+        history.add(2, 95.0, assumed=True)
+        history.update_received_at(2, 99.0)
+        self.assertEqual(history.expires_at_s(1, 8.0), 107.0)
+        history.update_received_at(2, 99.5)
+        self.assertEqual(history.expires_at_s(1, 8.0), 107.0)
 
     def test_versions_that_the_store_no_longer_holds_are_learned_from_peers(self) -> None:
         """hunt-add4-31: a restarted daemon knew version 4 only, and gave version 2 its bound."""
         history = VersionHistory()
-        history.note(4, 95.0, assumed=True)
-        history.note_age(4, 98.0)
-        history.note_age(3, 93.0)
-        self.assertEqual(history.due_s(2, 8.0), 101.0)
-        self.assertEqual(history.due_s(3, 8.0), 106.0)
+        history.add(4, 95.0, assumed=True)
+        history.update_received_at(4, 98.0)
+        history.update_received_at(3, 93.0)
+        self.assertEqual(history.expires_at_s(2, 8.0), 101.0)
+        self.assertEqual(history.expires_at_s(3, 8.0), 106.0)
         self.assertEqual(history.newest, 4)
 
     def test_a_bound_that_ran_while_the_store_was_lost_begins_anew(self) -> None:
         history = VersionHistory()
-        history.note(2, 100.0)
-        history.note(3, 106.0)
+        history.add(2, 100.0)
+        history.add(3, 106.0)
         history.restart_bounds(lost_s=110.0, regained_s=115.0, bound_s=8.0)
-        self.assertEqual(history.due_s(1, 8.0), 108.0)
-        self.assertEqual(history.due_s(2, 8.0), 123.0)
+        self.assertEqual(history.expires_at_s(1, 8.0), 108.0)
+        self.assertEqual(history.expires_at_s(2, 8.0), 123.0)
 
     def test_a_replica_that_comes_back_with_an_old_version_is_still_due(self) -> None:
         history = VersionHistory()
         for version in range(2, 200):
-            history.note(version, 100.0 + version)
-        self.assertEqual(len(history.named), MOST_REMEMBERED)
-        self.assertEqual(history.due_s(197, 8.0), 306.0)
-        self.assertLess(history.due_s(1, 8.0), 300.0)
+            history.add(version, 100.0 + version)
+        self.assertEqual(len(history.versions), MAX_VERSIONS)
+        self.assertEqual(history.expires_at_s(197, 8.0), 306.0)
+        self.assertLess(history.expires_at_s(1, 8.0), 300.0)
 
 
 class NextStepTest(unittest.TestCase):
     def test_no_more_load_at_once_than_the_deployments_bear(self) -> None:
         borne = {1: 1, 2: 1, 4: 1, 6: 2, 9: 3, 45: 17, 600: 228}
         hurried = LoadPace(8.0, load_s=60.0)
-        self.assertEqual({count: hurried.at_once(count) for count in borne}, borne)
+        self.assertEqual({count: hurried.max_concurrent_loads(count) for count in borne}, borne)
 
     def test_a_large_fleet_takes_no_more_out_of_service_than_the_bound_needs(self) -> None:
         """22 of 59 replicas loaded at once, all the time that versions came every four seconds."""
         pace = LoadPace(10.0)
-        self.assertEqual(pace.at_once(59), 13)
+        self.assertEqual(pace.max_concurrent_loads(59), 13)
         for _ in range(100):
-            pace.note_load(2.6)
-        self.assertEqual(pace.at_once(59), 22)
+            pace.record_load(2.6)
+        self.assertEqual(pace.max_concurrent_loads(59), 22)
         for _ in range(100):
-            pace.note_load(0.7)
-        self.assertEqual(pace.at_once(59), 7)
-        self.assertEqual(pace.at_once(2), 1)
+            pace.record_load(0.7)
+        self.assertEqual(pace.max_concurrent_loads(59), 7)
+        self.assertEqual(pace.max_concurrent_loads(2), 1)
 
     def test_a_rollout_begins_as_soon_as_a_version_is_named(self) -> None:
         """Answers of replaced weights are worth less from 1.5 s on; it used to wait for 1.8 s."""
@@ -131,8 +131,8 @@
 
     def test_a_large_fleet_that_is_overdue_does_not_load_all_at_once(self) -> None:
         views = [replica(f"r{number:03}", 1, overdue=True) for number in range(600)]
-        self.assertEqual(len(next_step(views, 2, PACE).order), 2 * PACE.at_once(600))
-        self.assertLess(2 * PACE.at_once(600), 400)
+        self.assertEqual(len(next_step(views, 2, PACE).order), 2 * PACE.max_concurrent_loads(600))
+        self.assertLess(2 * PACE.max_concurrent_loads(600), 400)
 
     def test_replicas_that_may_serve_nothing_are_loaded_without_waiting_for_slots(self) -> None:
         """After a leader was lost two of six replicas at a time were loaded, for 3.5 s each, and
@@ -150,5 +150,5 @@
     def test_a_replica_that_is_leaving_takes_no_slot_and_counts_for_none(self) -> None:
         views = [replica(f"r{number}", 1, accepting=number < 6) for number in range(12)]
         step = next_step(views, 2, PACE)
-        self.assertEqual(len(step.order), PACE.at_once(6))
+        self.assertEqual(len(step.order), PACE.max_concurrent_loads(6))
         self.assertLessEqual({*step.order, *step.prepare}, {f"r{number}" for number in range(6)})
--- a/tests/test_weights_bounds.py
+++ b/tests/test_weights_bounds.py
@@ -77,7 +77,7 @@
 
     def allowed_s(self, daemon: Daemon) -> float:
         """Return for how long after the naming the weights before it are allowed there."""
-        return daemon.state.versions[MODEL].due_s(1, BOUND_S) - self.named_s
+        return daemon.state.versions[MODEL].expires_at_s(1, BOUND_S) - self.named_s
 
 
 def follow(scenario: Callable[[FollowingFleet], Awaitable[None]], daemons: int = DAEMONS) -> None:
@@ -117,7 +117,7 @@
         daemon.follow()
         while MODEL not in daemon.state.versions:
             await asyncio.sleep(0.01)
-        return daemon.state.versions[MODEL].due_s(2, BOUND_S) - ready_s
+        return daemon.state.versions[MODEL].expires_at_s(2, BOUND_S) - ready_s
 
 
 class BoundsTest(unittest.TestCase):
@@ -241,7 +241,7 @@
                 daemon.store.cut = False
             await asyncio.sleep(2.0)
             for daemon in fleet.daemons:
-                allowed_s = daemon.state.versions[MODEL].due_s(2, BOUND_S) - fleet.named_s
+                allowed_s = daemon.state.versions[MODEL].expires_at_s(2, BOUND_S) - fleet.named_s
                 self.assertLess(allowed_s, BOUND_S + TOLERANCE_S, daemon.ip)
 
         follow(scenario, daemons=3)
@@ -387,7 +387,7 @@
             document = json.dumps({"Model": MODEL, "Version": 2}).encode()
             named = TableItem(f"op/version/{MODEL}", later.revision, document)
             deaf.sync.take_update(TableUpdate(known, later, False, False, (named,)))
-            left_s = deaf.state.versions[MODEL].due_s(1, BOUND_S) - deaf.state.clock()
+            left_s = deaf.state.versions[MODEL].expires_at_s(1, BOUND_S) - deaf.state.clock()
             self.assertLess(left_s, BOUND_S - deaf.age_s() + 0.1)
 
         run_virtually(main())
@@ -416,7 +416,7 @@
             deaf.store.cut = False
             while MODEL not in deaf.state.versions:
                 await asyncio.sleep(0.005)
-            allowed_s = deaf.state.versions[MODEL].due_s(1, short_s) - fleet.named_s
+            allowed_s = deaf.state.versions[MODEL].expires_at_s(1, short_s) - fleet.named_s
             self.assertLess(allowed_s, short_s + 0.1)
 
         run_virtually(main())
--- a/tests/test_weights_rollout.py
+++ b/tests/test_weights_rollout.py
@@ -163,10 +163,10 @@
             replica = fleet.state.fleet.get("i-1")
             assert replica is not None
             self.assertTrue(fleet.state.choice.available("s", set(), PROMPT))
-            replica.unread_tokens = 30_000
+            replica.pending_prefill_tokens = 30_000
             await asyncio.sleep(named_s + 6.5 - fleet.state.clock())
             self.assertFalse(fleet.state.choice.available("s", set(), PROMPT))
-            replica.unread_tokens = 0
+            replica.pending_prefill_tokens = 0
             long = Prompt(MODEL, (), 40_000)
             self.assertFalse(fleet.state.choice.available("s", set(), long))
             self.assertTrue(fleet.state.choice.available("s", set(), PROMPT))
@@ -302,7 +302,7 @@
     def _most_loading(self, named_before_s: float) -> int:
         async def scenario() -> int:
             fleet = await Fleet.led([FakeReplica(f"i-{number}") for number in range(6)])
-            fleet.state.versions[MODEL].note(2, fleet.state.clock() - named_before_s)
+            fleet.state.versions[MODEL].add(2, fleet.state.clock() - named_before_s)
             await asyncio.sleep(5.0)
             return fleet.control.most_loading
 
--- a/tests/test_zone_hubs.py
+++ b/tests/test_zone_hubs.py
@@ -89,7 +89,7 @@
                 WorkExchange, "_add_up", autospec=True, side_effect=WorkExchange._add_up
             ) as add_up:
                 for number in range(40):
-                    replica.note_sent(number, 100, busy.state.clock() + 9.0)
+                    replica.record_sent(number, 100, busy.state.clock() + 9.0)
                     busy.state.on_work_sent()
                     await asyncio.sleep(0.05)
             sums = [call for call in add_up.call_args_list if call.args[0]._state is idle.state]
@@ -269,7 +269,7 @@
             for number, daemon in enumerate(fleet.daemons):
                 replica = daemon.state.fleet.get("i-1")
                 assert replica is not None
-                replica.note_sent(number, 100, daemon.state.clock() + 9.0)
+                replica.record_sent(number, 100, daemon.state.clock() + 9.0)
                 daemon.state.on_work_sent()
                 daemon.state.note_kept(replica, [1000 + number])
             await asyncio.sleep(2.0)
@@ -277,7 +277,7 @@
                 replica = daemon.state.fleet.get("i-1")
                 assert replica is not None
                 self.assertEqual(replica.peer_in_flight, DAEMONS - 1)
-                self.assertEqual(replica.peer_unread_tokens, 100 * (DAEMONS - 1))
+                self.assertEqual(replica.peer_pending_prefill_tokens, 100 * (DAEMONS - 1))
                 for number in range(DAEMONS):
                     self.assertIn(replica.order_hash, daemon.state.parts.holders(1000 + number))
             for daemon in fleet.followers():
@@ -290,20 +290,20 @@
             busy = fleet.followers()[0]
             replica = busy.state.fleet.get("i-2")
             assert replica is not None
-            replica.note_sent(1, 7_000, busy.state.clock() + 9.0)
+            replica.record_sent(1, 7_000, busy.state.clock() + 9.0)
             busy.state.on_work_sent()
             await asyncio.sleep(0.2)
             for daemon in fleet.daemons:
                 seen = daemon.state.fleet.get("i-2")
                 assert seen is not None
-                self.assertEqual(seen.queued_tokens, 7_000)
-            replica.note_started(7_000)
-            replica.note_done(1)
+                self.assertEqual(seen.queued_prefill_tokens, 7_000)
+            replica.record_prefilled(7_000)
+            replica.record_ended(1)
             await asyncio.sleep(0.5)
             for daemon in fleet.daemons:
                 seen = daemon.state.fleet.get("i-2")
                 assert seen is not None
-                self.assertEqual((seen.queued_tokens, seen.running), (0, 0))
+                self.assertEqual((seen.queued_prefill_tokens, seen.running), (0, 0))
 
         in_large_fleet(scenario)
 
@@ -315,7 +315,7 @@
             busy = next(item for item in fleet.followers() if item.state.settings.zone == "z1")
             replica = busy.state.fleet.get("i-2")
             assert replica is not None
-            replica.note_sent(1, 100, busy.state.clock() + 9.0)
+            replica.record_sent(1, 100, busy.state.clock() + 9.0)
             await asyncio.sleep(1.5)
             for daemon in fleet.daemons:
                 seen = daemon.state.fleet.get("i-2")
--- a/tests/weights_fleet.py
+++ b/tests/weights_fleet.py
@@ -152,7 +152,7 @@
         ]
 
     def name(self, version: int) -> None:
-        self.state.versions[MODEL].note(version, self.state.clock())
+        self.state.versions[MODEL].add(version, self.state.clock())
 
     @classmethod
     async def led(cls, replicas: list[FakeReplica]) -> Fleet:
--- a/winchfork/core/answer_rate.py
+++ b/winchfork/core/answer_rate.py
@@ -9,7 +9,7 @@
 
 #: Seconds over which answers are counted, and at least, for a rate to be known.
 WINDOW_S = 2.0
-LEAST_WINDOW_S = 0.8
+MIN_WINDOW_S = 0.8
 
 
 class AnswerRate:
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self._totals: deque[tuple[float, int]] = deque()
 
-    def note(self, total: int, now_s: float) -> None:
+    def record(self, total: int, now_s: float) -> None:
         """Take in how many answers there have been so far; a lower total begins anew."""
         if self._totals and total < self._totals[-1][1]:
             self._totals.clear()
@@ -32,6 +32,6 @@
         if not self._totals:
             return None
         (first_s, first), (last_s, last) = self._totals[0], self._totals[-1]
-        if last_s - first_s < LEAST_WINDOW_S:
+        if last_s - first_s < MIN_WINDOW_S:
             return None
         return (last - first) / (last_s - first_s)
--- a/winchfork/core/exposure.py
+++ b/winchfork/core/exposure.py
@@ -12,13 +12,13 @@
 from winchfork.core.rendezvous import member_hash, mixed_order
 
 #: Credit that a daemon may save up while no family that takes part comes by.
-MOST_CREDIT = 2.0
+MAX_CREDIT = 2.0
 #: Families that take part beyond the share itself: were there just as many, a daemon of a large
 #: fleet would hardly ever see one of them while it has credit, and a trial would show nothing.
 FAMILY_MARGIN = 0.1
 
 
-def lane_of(family: str, order_revision: int) -> float:
+def bucket_of(family: str, order_revision: int) -> float:
     """Return a family's place in [0, 1) among those that move with an order, lowest first."""
     return mixed_order(member_hash(f"{order_revision}"), member_hash(family))
 
@@ -31,16 +31,16 @@
     the fleet spends what it earns in the mean, over any number of starts.
     """
 
-    def __init__(self, drawn: float) -> None:
-        self._credit = drawn
+    def __init__(self, initial_credit: float) -> None:
+        self._credit = initial_credit
 
     def earn(self, share: float) -> None:
         """Count a request of the service under the share in force."""
-        self._credit = min(MOST_CREDIT, self._credit + share)
+        self._credit = min(MAX_CREDIT, self._credit + share)
 
-    def spend(self, lane: float, share: float) -> bool:
+    def spend(self, bucket: float, share: float) -> bool:
         """Whether a request in this lane goes to the new version; if so, pay for it."""
-        if lane >= share + FAMILY_MARGIN or self._credit < 1.0:
+        if bucket >= share + FAMILY_MARGIN or self._credit < 1.0:
             return False
         self._credit -= 1.0
         return True
--- a/winchfork/core/part_index.py
+++ b/winchfork/core/part_index.py
@@ -25,7 +25,7 @@
 def shared_keys(scope: CacheScope, prompt: Prompt, weights_version: int) -> list[int]:
     """Return the keys of a prompt's shared parts, in order, under one version of the weights."""
     namespace = scope.namespace(weights_version)
-    return [part_key(namespace, part) for part in prompt.shared]
+    return [part_key(namespace, part) for part in prompt.shared_parts]
 
 
 class PartIndex:
@@ -35,7 +35,7 @@
         self._capacity = capacity
         self._holders: OrderedDict[int, dict[int, float]] = OrderedDict()
 
-    def note_held(self, keys: Iterable[int], replica_hash: int, now_s: float) -> list[int]:
+    def record_cached(self, keys: Iterable[int], replica_hash: int, now_s: float) -> list[int]:
         """Record that a replica keeps parts; return those that were news."""
         news: list[int] = []
         for key in keys:
@@ -51,7 +51,7 @@
             holders[replica_hash] = now_s
         return news
 
-    def note_dropped(self, key: int, replica_hash: int) -> None:
+    def record_evicted(self, key: int, replica_hash: int) -> None:
         """Record that a replica no longer keeps a part."""
         holders = self._holders.get(key)
         if holders is not None:
@@ -62,16 +62,16 @@
     def drop_replica(self, replica_hash: int) -> None:
         """Forget everything about a replica that has emptied its cache or ended."""
         for key in [key for key, holders in self._holders.items() if replica_hash in holders]:
-            self.note_dropped(key, replica_hash)
+            self.record_evicted(key, replica_hash)
 
-    def kept_parts(self, keys: Sequence[int], replica_hash: int) -> int:
+    def cached_part_count(self, keys: Sequence[int], replica_hash: int) -> int:
         """Return how many leading parts the replica keeps."""
         for number, key in enumerate(keys):
             if replica_hash not in self._holders.get(key, ()):
                 return number
         return len(keys)
 
-    def kept_depths(self, keys: Sequence[int]) -> dict[int, int]:
+    def cached_depths(self, keys: Sequence[int]) -> dict[int, int]:
         """Return for each replica that keeps the first part how many leading parts it keeps."""
         depths: dict[int, int] = {}
         for number, key in enumerate(keys):
--- a/winchfork/core/placement_request.py
+++ b/winchfork/core/placement_request.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from winchfork.core.engine_speed import PRIOR_READ_TOKENS_PER_S
+from winchfork.core.engine_speed import PRIOR_PREFILL_TOKENS_PER_S
 from winchfork.core.prompt_parts import CacheScope, Prompt
 from winchfork.core.region_map import RegionMap
 from winchfork.core.relay_replica import RelayReplica
@@ -35,10 +35,10 @@
     """
 
     replica: RelayReplica
-    kept_tokens: int
-    unread_tokens: int
+    cached_tokens: int
+    prefill_tokens: int
     cost_s: float
-    weighed: int
+    candidate_count: int
     copied_tokens: int = 0
     copy_from: RelayReplica | None = None
     save_to: RelayReplica | None = None
@@ -54,7 +54,7 @@
     tokens_per_s: float
 
 
-class PromptPlacement(msgspec.Struct, frozen=True):
+class PromptPlacementRequest(msgspec.Struct, frozen=True):
     """A prompt to place, for a daemon in ``zone``.
 
     ``run_s`` is how long its answer is expected to take after the first token.
@@ -72,18 +72,18 @@
     scope: CacheScope
     zone: str
     now_s: float = 0.0
-    run_s: float = 0.0
+    expected_run_s: float = 0.0
     copy_tokens_per_s: float = 0.0
     cache_tokens: int = 0
     mean_run_s: float = 0.0
     old_versions: frozenset[int] = frozenset()
-    spread_s: float = 0.0
-    spread_key: int = 0
+    max_jitter_s: float = 0.0
+    jitter_key: int = 0
     stores: Mapping[str, CacheStoreChoice] = {}
-    read_tokens_per_s: float = PRIOR_READ_TOKENS_PER_S
+    prefill_tokens_per_s: float = PRIOR_PREFILL_TOKENS_PER_S
     gap_target_s: float = 0.0
     regions: RegionMap = _NO_REGIONS
-    crossing_s: float = 0.0
+    cross_region_cost_s: float = 0.0
     connected: frozenset[int] | None = None
 
     def connect_cost_s(self, replica: RelayReplica) -> float:
@@ -91,10 +91,10 @@
         return connect_cost_s(self.connected, replica)
 
     @property
-    def long_answer(self) -> bool:
+    def is_long_answer(self) -> bool:
         """Whether the answer takes much longer than the prompt."""
-        read_s = self.prompt.prompt_tokens / self.read_tokens_per_s
-        return self.run_s > LONG_ANSWER_RATIO * read_s
+        read_s = self.prompt.prompt_tokens / self.prefill_tokens_per_s
+        return self.expected_run_s > LONG_ANSWER_RATIO * read_s
 
     def version_at(self, replica: RelayReplica) -> int:
         """Return the version of the prompt's model that a replica has."""
--- a/winchfork/core/policies/expected_time.py
+++ b/winchfork/core/policies/expected_time.py
@@ -34,7 +34,7 @@
 RUNNING_REQUEST_COST_S = 0.004
 #: Seconds charged across a family's rendezvous order, first choice to last; breaks ties the same
 #: way on every daemon without outweighing real queues.
-ORDER_COST_S = 0.05
+RANK_COST_S = 0.05
 #: Seconds to set up a copy, whatever its size.
 IMPORT_SETUP_S = 0.02
 #: Candidates kept for the explanation.
@@ -63,7 +63,7 @@
             cached = matched.get(replica.replica_id, 0)
             wait_s = _wait_s(replica, request.urgent)
             cost = _cost(request, replica, wait_s, _work(request, replica, cached, source))
-            cost += ORDER_COST_S * mixed_order(family, replica.order_hash)
+            cost += RANK_COST_S * mixed_order(family, replica.order_hash)
             best.append((cost, replica.replica_id, replica))
         leaders = heapq.nsmallest(EXPLAINED_CANDIDATES, best)
         candidates = tuple(
--- a/winchfork/core/prompt_sources.py
+++ b/winchfork/core/prefill_plan.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from winchfork.core.part_index import PartIndex, shared_keys
-from winchfork.core.placement_request import PromptPlacement
+from winchfork.core.placement_request import PromptPlacementRequest
 from winchfork.core.region_map import Distance
 from winchfork.core.relay_replica import RelayReplica
 
@@ -24,36 +24,36 @@
 }
 #: A copy may take this many times as long as reading the same tokens: reading holds up the answers
 #: that run there, and a copy does not.
-COPY_PATIENCE = 1.5
+MAX_COPY_TO_PREFILL_RATIO = 1.5
 #: A copy of fewer tokens is not worth its set-up.
-LEAST_COPIED_TOKENS = 64
+MIN_COPIED_TOKENS = 64
 
 
-class Reading(msgspec.Struct, frozen=True):
+class PrefillPlan(msgspec.Struct, frozen=True):
     """Tokens of a prompt kept at a replica, copied to it and read by it.
 
     ``copy_s`` is the time that the copy takes.
     """
 
-    kept: int
-    copied: int
-    unread: int
+    cached_tokens: int
+    copied_tokens: int
+    prefill_tokens: int
     source: RelayReplica | None
     copy_s: float
 
 
-class KeptUnderVersion(msgspec.Struct, frozen=True):
+class CachedParts(msgspec.Struct, frozen=True):
     """Keys of the shared parts under one version, and the leading parts kept, by replica."""
 
     keys: Sequence[int]
     depths: Mapping[int, int]
 
 
-class PromptSources:
+class PrefillPlanner:
     """Who keeps how much of one prompt's shared parts, looked up once for each weights version."""
 
     def __init__(
-        self, request: PromptPlacement, sources: Sequence[RelayReplica], index: PartIndex
+        self, request: PromptPlacementRequest, sources: Sequence[RelayReplica], index: PartIndex
     ) -> None:
         self._request = request
         self._sources = {source.order_hash: source for source in sources}
@@ -61,61 +61,61 @@
             choice.store.order_hash: choice.tokens_per_s for choice in request.stores.values()
         }
         self._index = index
-        self._by_version: dict[int, KeptUnderVersion] = {}
+        self._by_version: dict[int, CachedParts] = {}
         #: Replicas of one zone that keep equally much have the same source.
-        self._readings: dict[tuple[int, str, int], Reading] = {}
+        self._plans: dict[tuple[int, str, int], PrefillPlan] = {}
 
-    def at(self, replica: RelayReplica) -> KeptUnderVersion:
+    def cached_parts_for(self, replica: RelayReplica) -> CachedParts:
         """Return what is kept under the weights that a replica has."""
         version = self._request.version_at(replica)
         known = self._by_version.get(version)
         if known is None:
             keys = shared_keys(self._request.scope, self._request.prompt, version)
-            known = KeptUnderVersion(keys, self._index.kept_depths(keys))
+            known = CachedParts(keys, self._index.cached_depths(keys))
             self._by_version[version] = known
         return known
 
-    def reading(self, replica: RelayReplica) -> Reading:
+    def plan_for(self, replica: RelayReplica) -> PrefillPlan:
         """Return how a replica would come by the prompt."""
-        kept_parts = self.at(replica).depths.get(replica.order_hash, 0)
+        kept_parts = self.cached_parts_for(replica).depths.get(replica.order_hash, 0)
         place = (self._request.version_at(replica), replica.listing.zone, kept_parts)
-        known = self._readings.get(place)
+        known = self._plans.get(place)
         if known is None:
-            known = self._readings[place] = self._find_reading(replica, kept_parts)
+            known = self._plans[place] = self._find_plan(replica, kept_parts)
         return known
 
-    def is_near(self, rate_tokens_per_s: float) -> bool:
+    def is_copy_worthwhile(self, copy_tokens_per_s: float) -> bool:
         """Whether a copy at this rate is worth its time."""
-        return rate_tokens_per_s * COPY_PATIENCE >= self._request.read_tokens_per_s
+        return copy_tokens_per_s * MAX_COPY_TO_PREFILL_RATIO >= self._request.prefill_tokens_per_s
 
-    def rate_between(self, source: RelayReplica, replica: RelayReplica) -> float:
+    def copy_tokens_per_s(self, source: RelayReplica, replica: RelayReplica) -> float:
         """Return the tokens a second that a replica copies from a source; 0 where it cannot."""
         own_rate = self._request.copy_tokens_per_s
         rate = self._store_rates.get(source.order_hash, own_rate) if own_rate else 0.0
         distance = self._request.regions.distance(source.listing.zone, replica.listing.zone)
         return rate / COPY_TIME_RATIO[distance]
 
-    def _find_reading(self, replica: RelayReplica, kept_parts: int) -> Reading:
+    def _find_plan(self, replica: RelayReplica, cached_part_count: int) -> PrefillPlan:
         """Weigh every source by the time to copy what it keeps and to read the rest."""
         request = self._request
-        shared = request.prompt.shared
-        kept = sum(part.tokens for part in shared[:kept_parts])
+        shared = request.prompt.shared_parts
+        kept = sum(part.tokens for part in shared[:cached_part_count])
         unread = max(1, request.prompt.prompt_tokens - kept)
-        best = Reading(kept, 0, unread, None, 0.0)
-        prefixes = self.at(replica)
+        best = PrefillPlan(kept, 0, unread, None, 0.0)
+        prefixes = self.cached_parts_for(replica)
         best_order: tuple[float, float] | None = None
         for source_hash, parts in prefixes.depths.items():
             source = self._sources.get(source_hash)
-            if source is None or parts <= kept_parts:
+            if source is None or parts <= cached_part_count:
                 continue
-            rate = self.rate_between(source, replica)
-            copied = sum(part.tokens for part in shared[kept_parts:parts])
-            if not rate or copied < LEAST_COPIED_TOKENS or not self.is_near(rate):
+            rate = self.copy_tokens_per_s(source, replica)
+            copied = sum(part.tokens for part in shared[cached_part_count:parts])
+            if not rate or copied < MIN_COPIED_TOKENS or not self.is_copy_worthwhile(rate):
                 continue
             copy_s = copied / rate
             rest = max(1, request.prompt.prompt_tokens - kept - copied)
             used_s = self._index.holders(prefixes.keys[parts - 1]).get(source_hash, 0.0)
-            order = (copy_s + rest / request.read_tokens_per_s, -used_s)
+            order = (copy_s + rest / request.prefill_tokens_per_s, -used_s)
             if best_order is None or order < best_order:
-                best, best_order = Reading(kept, copied, rest, source, copy_s), order
+                best, best_order = PrefillPlan(kept, copied, rest, source, copy_s), order
         return best
--- a/winchfork/core/prompt_parts.py
+++ b/winchfork/core/prompt_parts.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-_SHARED_WALL = "-"
+_SHARED_ISOLATION_KEY = "-"
 
 
 class PromptPart(msgspec.Struct, frozen=True):
@@ -27,7 +27,7 @@
     output_tokens: int = 0
 
     @property
-    def shared(self) -> tuple[PromptPart, ...]:
+    def shared_parts(self) -> tuple[PromptPart, ...]:
         """The parts that other requests may share."""
         return self.parts[:-1]
 
@@ -46,7 +46,7 @@
     @property
     def shared_tokens(self) -> int:
         """Tokens of the shared parts."""
-        return sum(part.tokens for part in self.shared)
+        return sum(part.tokens for part in self.shared_parts)
 
 
 class CacheScope(msgspec.Struct, frozen=True):
@@ -56,14 +56,14 @@
     cannot be named at all, in a replica or in a store.
     """
 
-    wall: str
+    isolation_key: str
     model: str
 
     @classmethod
-    def of(cls, tenant: str, isolated: bool, model: str) -> CacheScope:
+    def for_tenant(cls, tenant: str, isolated: bool, model: str) -> CacheScope:
         """Return the tenant's own scope where it is isolated, else the shared one."""
-        return cls(f"t.{tenant}" if isolated else _SHARED_WALL, model)
+        return cls(f"t.{tenant}" if isolated else _SHARED_ISOLATION_KEY, model)
 
     def namespace(self, weights_version: int) -> str:
         """Return the text under which replicas with these weights keep and find parts."""
-        return f"{self.wall}/{self.model}/{weights_version}"
+        return f"{self.isolation_key}/{self.model}/{weights_version}"
--- a/winchfork/core/replica_notice.py
+++ b/winchfork/core/replica_notice.py
@@ -19,14 +19,14 @@
 #: The shortest backoff that peers are told of, and the longest that they heed, in seconds. A
 #: shorter one may be asked of one daemon by a replica that is full for a moment; told to all it
 #: would leave the replica idle. A longer one is heard again from the replica by the trial after it.
-LEAST_TOLD_BACKOFF_S = 2.0
-MAX_TOLD_BACKOFF_S = 60.0
+MIN_REPORTED_BACKOFF_S = 2.0
+MAX_REPORTED_BACKOFF_S = 60.0
 #: Part of a backoff that is added to it, as drawn: daemons that were turned away together do not
 #: come back together.
-RETURN_SPREAD_SHARE = 0.1
+BACKOFF_JITTER_SHARE = 0.1
 #: Seconds for which a replica is left alone that may have said, before it was listed, that it
 #: leaves: one that does serves on for some seconds and ends, any other is tried after this time.
-DOUBTED_DRAINING_S = 15.0
+UNCONFIRMED_DRAINING_S = 15.0
 #: Seconds by which the clocks of a replica and of this machine are taken to differ.
 CLOCK_TOLERANCE_S = 0.5
 #: Seconds that the first request after a backoff goes alone: a replica that still wants none turns
@@ -47,17 +47,17 @@
     backoff_s: float | None = None
     unreadable: str = ""
     limit_per_s: float | None = None
-    names_limit: bool = False
-    unknown: tuple[str, ...] = ()
+    has_limit: bool = False
+    unknown_names: tuple[str, ...] = ()
 
     @property
     def is_empty(self) -> bool:
         """Whether the answer says nothing of its replica."""
-        asks = self.draining or self.names_limit or self.backoff_s is not None
-        return not (asks or self.unreadable or self.unknown)
+        asks = self.draining or self.has_limit or self.backoff_s is not None
+        return not (asks or self.unreadable or self.unknown_names)
 
 
-class ToldPause(msgspec.Struct, frozen=True):
+class ReportedPause(msgspec.Struct, frozen=True):
     """What a replica has said to a peer: that it drains, or that it wants a pause from now."""
 
     draining: bool
@@ -88,47 +88,47 @@
     draining: bool = False
     backoff_until_s: float = 0.0
     #: The end of the pause that it has asked this daemon for, if peers are to know of it.
-    told_backoff_until_s: float = 0.0
+    reported_backoff_until_s: float = 0.0
     #: When it last said something of itself.
-    heard_s: float = -math.inf
+    received_at_s: float = -math.inf
     #: How many requests a second it takes from all daemons together.
     limit: RequestLimit = msgspec.field(default_factory=RequestLimit)
-    _returning: bool = False
+    _needs_trial: bool = False
     _trial_sent_s: float | None = None
 
-    def note(self, notice: AnswerNotice, now_s: float, draw: float = 0.0) -> NoticeChange:
+    def record(self, notice: AnswerNotice, now_s: float, jitter: float = 0.0) -> NoticeChange:
         """Take in what an answer says that was read at ``now_s``; ``draw`` is from 0 to 1."""
         change = NoticeChange.NOTHING
         if notice.draining or notice.backoff_s:
-            self.heard_s = now_s
-        if notice.backoff_s and self._back_off(notice.backoff_s, now_s, draw):
+            self.received_at_s = now_s
+        if notice.backoff_s and self._back_off(notice.backoff_s, now_s, jitter):
             change = NoticeChange.BACKOFF
         if notice.draining and not self.draining:
             self.draining = True
             change = NoticeChange.DRAINING
         return change
 
-    def _back_off(self, backoff_s: float, now_s: float, draw: float) -> bool:
+    def _back_off(self, backoff_s: float, now_s: float, jitter: float) -> bool:
         """Begin a backoff or make it longer; True if none was under way."""
         was_backing_off = now_s < self.backoff_until_s
         heeded_s = min(backoff_s, MAX_BACKOFF_S)
-        until_s = now_s + heeded_s * (1.0 + RETURN_SPREAD_SHARE * draw)
-        if backoff_s >= LEAST_TOLD_BACKOFF_S:
-            self.told_backoff_until_s = max(self.told_backoff_until_s, until_s)
+        until_s = now_s + heeded_s * (1.0 + BACKOFF_JITTER_SHARE * jitter)
+        if backoff_s >= MIN_REPORTED_BACKOFF_S:
+            self.reported_backoff_until_s = max(self.reported_backoff_until_s, until_s)
         self._pause_until(until_s)
         return not was_backing_off
 
     def _pause_until(self, until_s: float) -> None:
         self.backoff_until_s = max(self.backoff_until_s, until_s)
-        self._returning = True
+        self._needs_trial = True
         self._trial_sent_s = None
 
-    def heed_peer(self, told: ToldPause, now_s: float) -> bool:
+    def apply_peer_pause(self, pause: ReportedPause, now_s: float) -> bool:
         """Pause for what the replica has said to a peer; False if it is left alone by then anyway.
 
         Draining that is not its own word to this daemon is a pause, with a trial at its end.
         """
-        pause_s = DOUBTED_DRAINING_S if told.draining else min(told.backoff_s, MAX_TOLD_BACKOFF_S)
+        pause_s = UNCONFIRMED_DRAINING_S if pause.draining else min(pause.backoff_s, MAX_REPORTED_BACKOFF_S)
         if self.draining or now_s + pause_s <= self.backoff_until_s:
             return False
         self._pause_until(now_s + pause_s)
@@ -142,18 +142,18 @@
         not cost this one for good. False where all was heard before this one ``started_s``.
         """
         adopts_limit = self._adopt_limit(former.limit, started_s)
-        if former.heard_s <= started_s - CLOCK_TOLERANCE_S:
+        if former.received_at_s <= started_s - CLOCK_TOLERANCE_S:
             return adopts_limit
-        until_s = now_s + DOUBTED_DRAINING_S if former.draining else former.backoff_until_s
+        until_s = now_s + UNCONFIRMED_DRAINING_S if former.draining else former.backoff_until_s
         if until_s <= now_s:
             return adopts_limit
         self._pause_until(until_s)
         return True
 
     def _adopt_limit(self, former: RequestLimit, started_s: float) -> bool:
-        if former.per_s is None or former.heard_s <= started_s - CLOCK_TOLERANCE_S:
+        if former.per_s is None or former.received_at_s <= started_s - CLOCK_TOLERANCE_S:
             return False
-        if former.heard_s > self.limit.heard_s:
+        if former.received_at_s > self.limit.received_at_s:
             self.limit.adopt(former)
         return True
 
@@ -161,30 +161,30 @@
         """Whether the pause that it asked for lasts."""
         return now_s < self.backoff_until_s
 
-    def opens_in_s(self, now_s: float) -> float:
+    def available_in_s(self, now_s: float) -> float:
         """Return in how many seconds it may be sent a request, as far as it has asked for pauses.
 
         0: now. A draining replica never may, whatever this says.
         """
         if self.is_backing_off(now_s):
             return self.backoff_until_s - now_s
-        if self._returning and self._trial_sent_s is not None:
+        if self._needs_trial and self._trial_sent_s is not None:
             return max(0.0, self._trial_sent_s + TRIAL_S - now_s)
         return 0.0
 
-    def takes_requests(self, now_s: float) -> bool:
+    def accepts_requests(self, now_s: float) -> bool:
         """Whether it may be sent a request now by what it has said."""
-        return not self.draining and self.opens_in_s(now_s) <= 0.0
+        return not self.draining and self.available_in_s(now_s) <= 0.0
 
-    def note_sent(self, now_s: float) -> None:
+    def record_sent(self, now_s: float) -> None:
         """A request is sent to it: after a backoff the first is the trial."""
-        self.limit.note_sent(now_s)
-        if self._returning and self._trial_sent_s is None and not self.is_backing_off(now_s):
+        self.limit.record_sent(now_s)
+        if self._needs_trial and self._trial_sent_s is None and not self.is_backing_off(now_s):
             self._trial_sent_s = now_s
 
-    def note_answered(self, sent_s: float, *, turned_away: bool) -> None:
+    def record_answer(self, sent_s: float, *, refused: bool) -> None:
         """A request that was sent then has been answered; the trial's answer decides."""
-        if not self._returning or sent_s < self.backoff_until_s:
+        if not self._needs_trial or sent_s < self.backoff_until_s:
             return
         self._trial_sent_s = None
-        self._returning = turned_away
+        self._needs_trial = refused
--- a/winchfork/core/routing.py
+++ b/winchfork/core/routing.py
@@ -144,7 +144,7 @@
         return [item.store for item in self.services.values() if item.store]
 
 
-class SplitChooser:
+class TrafficSplitter:
     """Deals requests to the parts of a split in proportion to their weights.
 
     Smooth weighted round-robin: in every run of requests each part's share is within one request
--- a/winchfork/core/software_state.py
+++ b/winchfork/core/software_state.py
@@ -17,14 +17,14 @@
 import msgspec
 
 #: Versions that were judged bad and are remembered for each service.
-MOST_JUDGED_BAD = 16
+MAX_REJECTED_VERSIONS = 16
 
 
 class SoftwarePhase(enum.Enum):
     """The stage of a service's rollout."""
 
     #: One version gets everything.
-    SETTLED = "settled"
+    STABLE = "settled"
     #: A small share of requests goes to a few replicas of the target.
     TRIAL = "trial"
     #: The share rises, and every replica of the target takes part.
@@ -47,7 +47,7 @@
     #: It was found bad.
     BAD = "bad"
     #: It was not approved, and has got what a bad version may get.
-    SPENT = "budget_spent"
+    BUDGET_EXHAUSTED = "budget_spent"
 
 
 class SoftwareOrder(msgspec.Struct, frozen=True):
@@ -73,7 +73,7 @@
 
     service: str
     in_force: str
-    phase: SoftwarePhase = SoftwarePhase.SETTLED
+    phase: SoftwarePhase = SoftwarePhase.STABLE
     target: str = ""
     share: float = 0.0
     trial_replicas: int = 0
@@ -87,7 +87,7 @@
     @property
     def running(self) -> bool:
         """Whether an order is being carried out."""
-        return self.phase is not SoftwarePhase.SETTLED
+        return self.phase is not SoftwarePhase.STABLE
 
     @property
     def returning(self) -> bool:
@@ -112,7 +112,7 @@
         return msgspec.structs.replace(
             self,
             in_force=self.target,
-            phase=SoftwarePhase.SETTLED,
+            phase=SoftwarePhase.STABLE,
             share=0.0,
             trial_replicas=0,
             outcome=RolloutOutcome.COMPLETED,
@@ -123,11 +123,11 @@
         bad = (*self.judged_bad, self.target) if judged_bad else self.judged_bad
         return msgspec.structs.replace(
             self,
-            phase=SoftwarePhase.SETTLED,
+            phase=SoftwarePhase.STABLE,
             share=0.0,
             trial_replicas=0,
             outcome=RolloutOutcome.ROLLED_BACK,
-            judged_bad=bad[-MOST_JUDGED_BAD:],
+            judged_bad=bad[-MAX_REJECTED_VERSIONS:],
         )
 
     def with_order(self, order: SoftwareOrder) -> SoftwareState:
@@ -162,12 +162,12 @@
     replicas of ``first`` take part; 0: all.
     """
 
-    first: str
-    otherwise: str = ""
+    preferred: str
+    fallback: str = ""
     trial_replicas: int = 0
 
 
-def rule_of(state: SoftwareState, *, on_target: bool) -> VersionRule:
+def version_rule(state: SoftwareState, *, on_target: bool) -> VersionRule:
     """Return where a request goes; ``on_target`` if it is one of those that go to the target.
 
     The version in force never hands a request on to the target: that would exceed the share when
@@ -176,12 +176,12 @@
     if state.phase is SoftwarePhase.MOVED:
         fallback = "" if state.returning else state.in_force
         return VersionRule(state.target, fallback)
-    if on_target and state.phase is not SoftwarePhase.SETTLED and not state.returning:
+    if on_target and state.phase is not SoftwarePhase.STABLE and not state.returning:
         return VersionRule(state.target, state.in_force, state.trial_replicas)
     return VersionRule(state.in_force)
 
 
-def likely_in_force(accepting: Iterable[str], listed: Iterable[str], target: str = "") -> str:
+def infer_in_force(accepting: Iterable[str], listed: Iterable[str], target: str = "") -> str:
     """Return the version that is in force where no record says so; "" where none is listed.
 
     That is the one of most replicas. The target of an order that no record mentions yet is not.
@@ -196,7 +196,7 @@
     return ""
 
 
-def first_replicas(hashes: Sequence[int], count: int) -> frozenset[int]:
+def select_trial_replicas(hashes: Sequence[int], count: int) -> frozenset[int]:
     """Return the replicas, by the hash of their ids, that take part in a trial of ``count``.
 
     The same on every daemon that knows the same replicas.
--- a/winchfork/core/task_placement.py
+++ b/winchfork/core/task_placement.py
@@ -18,7 +18,7 @@
 DEFAULT_LATENCY_S = 0.05
 
 
-class TaskPlacement(msgspec.Struct, frozen=True):
+class TaskPlacementRequest(msgspec.Struct, frozen=True):
     """A request without a prompt, at a daemon in ``zone``.
 
     ``crossing_s`` is the charge for a replica in another region. ``connected`` are the replicas, by
@@ -28,11 +28,11 @@
     zone: str
     now_s: float
     regions: RegionMap = RegionMap()
-    crossing_s: float = 0.0
+    cross_region_cost_s: float = 0.0
     connected: frozenset[int] | None = None
 
 
-def place_task(request: TaskPlacement, candidates: Sequence[RelayReplica]) -> RelayDecision | None:
+def place_task(request: TaskPlacementRequest, candidates: Sequence[RelayReplica]) -> RelayDecision | None:
     """Return the candidate expected to answer first, or None without candidates."""
     best: RelayDecision | None = None
     for replica in candidates:
@@ -42,7 +42,7 @@
     return best
 
 
-def _task_cost_s(request: TaskPlacement, replica: RelayReplica) -> float:
+def _task_cost_s(request: TaskPlacementRequest, replica: RelayReplica) -> float:
     measured = request.now_s - replica.latency_at_s < LATENCY_MEMORY_S and replica.latency_s > 0
     latency_s = replica.latency_s if measured else DEFAULT_LATENCY_S
     work = replica.running
@@ -52,5 +52,5 @@
     if distance is Distance.SAME_REGION:
         cost_s += OTHER_ZONE_COST_S
     elif distance is Distance.OTHER_REGION:
-        cost_s += request.crossing_s
+        cost_s += request.cross_region_cost_s
     return cost_s + connect_cost_s(request.connected, replica)
--- a/winchfork/core/urgency.py
+++ b/winchfork/core/urgency.py
@@ -11,20 +11,20 @@
 import math
 
 #: The least urgent level that replicas know; 0 is the most urgent.
-LEAST_URGENT = 9
+LOWEST_URGENCY = 9
 #: Reading that takes this share of the target latency or less has the operators' own priority; each
 #: doubling beyond it is one level less urgent.
-SHORT_SHARE = 0.05
+SHORT_PREFILL_SHARE = 0.05
 #: Levels that the longest reading is set back.
-MOST_SET_BACK = 5
+MAX_PENALTY_LEVELS = 5
 
 
-def urgency_level(priority: int, read_s: float, target_s: float) -> int:
+def urgency_level(priority: int, prefill_s: float, target_s: float) -> int:
     """Return the level of a prompt that takes ``read_s`` to read, for an aim of ``target_s``."""
-    return max(0, min(LEAST_URGENT, priority + _set_back(read_s, target_s)))
+    return max(0, min(LOWEST_URGENCY, priority + _penalty_levels(prefill_s, target_s)))
 
 
-def _set_back(read_s: float, target_s: float) -> int:
-    if target_s <= 0.0 or read_s <= SHORT_SHARE * target_s:
+def _penalty_levels(prefill_s: float, target_s: float) -> int:
+    if target_s <= 0.0 or prefill_s <= SHORT_PREFILL_SHARE * target_s:
         return 0
-    return min(MOST_SET_BACK, math.ceil(math.log2(read_s / (SHORT_SHARE * target_s))))
+    return min(MAX_PENALTY_LEVELS, math.ceil(math.log2(prefill_s / (SHORT_PREFILL_SHARE * target_s))))
--- a/winchfork/core/version_evidence.py
+++ b/winchfork/core/version_evidence.py
@@ -25,27 +25,27 @@
 #: Alarm threshold, as a log likelihood ratio. A good version then raises a false alarm about once
 #: in exp(10) / 0.1 = 220,000 answers of a route; one with three bad answers in ten is found after
 #: some 6 bad ones where nothing else fails, and some 20 where a seventh fails anyway.
-ALARM = 10.0
+ALARM_THRESHOLD = 10.0
 #: Approval threshold: a version that is bad passes it with a chance of 0.02.
-APPROVAL = math.log(0.02)
+APPROVAL_THRESHOLD = math.log(0.02)
 #: Threshold from which on answers speak for a version, if not clearly: some eight good ones and no
 #: bad one where nothing else fails. One with four bad answers in ten gets as far in one of 60.
-LEANING = math.log(0.25)
+PROBABLE_THRESHOLD = math.log(0.25)
 #: The old version's share of bad answers before any was seen, and how many answers that is worth.
-PRIOR_SHARE = 0.03
+PRIOR_BAD_SHARE = 0.03
 PRIOR_ANSWERS = 20.0
 #: Shares are kept off 0 and 1, where ratios have no logarithm.
-LEAST_SHARE = 0.01
-MOST_SHARE = 0.95
+MIN_SHARE = 0.01
+MAX_SHARE = 0.95
 #: Looks, some hundredths to a fifth of a second apart, over which the old version's latest answers
 #: are compared with besides, and the least of them that tell something: when all of a service turns
 #: slow or fails, that is no fault of its new version.
-LOOKS_COMPARED = 5
-LEAST_LATE_ANSWERS = 5
+COMPARED_CHECKS = 5
+MIN_RECENT_ANSWERS = 5
 #: Part of a version's replicas that is left out of its evidence, the worst first.
 WORST_SHARE = 0.2
 #: Fewer replicas than this are all counted: there is nothing to compare them with.
-LEAST_COMPARED = 3
+MIN_COMPARED_REPLICAS = 3
 
 
 class Fault(enum.Enum):
@@ -76,7 +76,7 @@
             max(0, self.slow - earlier.slow),
         )
 
-    def of(self, fault: Fault) -> int:
+    def count_of(self, fault: Fault) -> int:
         """Return how many answers have one fault."""
         return self.failed if fault is Fault.FAILED else self.slow
 
@@ -118,7 +118,7 @@
     expected_share: float
 
 
-class Opinion(enum.Enum):
+class Assessment(enum.Enum):
     """What all answers so far say of the new version."""
 
     #: They speak clearly for it, and on no route against it.
@@ -126,9 +126,9 @@
     #: They speak for it, if not clearly, and on no route against it.
     PROBABLE = "probable"
     #: They speak against it on no route, but too few have come.
-    OPEN = "open"
+    INCONCLUSIVE = "open"
     #: On some route a bad version is the likelier one, if not by much.
-    DOUBTFUL = "doubtful"
+    SUSPECT = "doubtful"
 
 
 class VersionTest:
@@ -141,32 +141,32 @@
         self._seen: dict[tuple[int, Fault], tuple[int, int]] = {}
         self._old_seen: dict[int, collections.deque[AnswerCounts]] = {}
         #: Log likelihood ratios of all answers, those of the worst replicas as well.
-        self._leaning: dict[Fault, float] = dict.fromkeys(Fault, 0.0)
+        self._total_ratios: dict[Fault, float] = dict.fromkeys(Fault, 0.0)
 
-    def judge(self, evidence: Evidence, *, compares_times: bool = True) -> Alarm | None:
+    def evaluate(self, evidence: Evidence, *, compare_latency: bool = True) -> Alarm | None:
         """Take in what is new and return the alarm, if there is one.
 
         Without ``compares_times`` slow answers are not held against the version: the old one gets
         too few to tell what is slow just now.
         """
-        faults = tuple(Fault) if compares_times else (Fault.FAILED,)
+        faults = tuple(Fault) if compare_latency else (Fault.FAILED,)
         for fault in faults:
-            self._leaning[fault] = _leaning(evidence, fault)
+            self._total_ratios[fault] = _total_ratio(evidence, fault)
         for route, counts in new_by_route(evidence).items():
             old = evidence.old.get(route, AnswerCounts())
-            lately = self._lately(route, old)
+            lately = self._recent_answers(route, old)
             for fault in faults:
                 expected = max(
                     expected_share(old, fault),
-                    *(_late_share(some, fault) for some in lately),
+                    *(_recent_share(some, fault) for some in lately),
                 )
-                if self._add(route, fault, counts, expected) >= ALARM:
-                    return Alarm(route, fault, counts.answers, counts.of(fault), expected)
+                if self._add(route, fault, counts, expected) >= ALARM_THRESHOLD:
+                    return Alarm(route, fault, counts.answers, counts.count_of(fault), expected)
         return None
 
-    def _lately(self, route: int, old: AnswerCounts) -> tuple[AnswerCounts, AnswerCounts]:
+    def _recent_answers(self, route: int, old: AnswerCounts) -> tuple[AnswerCounts, AnswerCounts]:
         """Return the old version's answers since the last look, and since some looks before."""
-        seen = self._old_seen.setdefault(route, collections.deque(maxlen=LOOKS_COMPARED))
+        seen = self._old_seen.setdefault(route, collections.deque(maxlen=COMPARED_CHECKS))
         if not seen:
             seen.append(AnswerCounts())
         lately = old.since(seen[-1]), old.since(seen[0])
@@ -175,7 +175,7 @@
 
     def _add(self, route: int, fault: Fault, new: AnswerCounts, expected: float) -> float:
         key = (route, fault)
-        answers, bad = new.answers, new.of(fault)
+        answers, bad = new.answers, new.count_of(fault)
         seen_answers, seen_bad = self._seen.get(key, (0, 0))
         # Another replica may be the worst now, and the counts without it may be lower.
         self._seen[key] = (max(answers, seen_answers), max(bad, seen_bad))
@@ -187,16 +187,16 @@
         return self._sums[key]
 
     @property
-    def opinion(self) -> Opinion:
+    def assessment(self) -> Assessment:
         """What everything seen so far says of the new version."""
         totals = dict.fromkeys(Fault, 0.0)
         for (_, fault), ratio in self._ratios.items():
             if ratio > 0.0:
-                return Opinion.DOUBTFUL
+                return Assessment.SUSPECT
             totals[fault] += ratio
-        if max(totals.values()) <= APPROVAL:
-            return Opinion.GOOD
-        return Opinion.PROBABLE if max(self._leaning.values()) <= LEANING else Opinion.OPEN
+        if max(totals.values()) <= APPROVAL_THRESHOLD:
+            return Assessment.GOOD
+        return Assessment.PROBABLE if max(self._total_ratios.values()) <= PROBABLE_THRESHOLD else Assessment.INCONCLUSIVE
 
 
 def expected_share(old: AnswerCounts, fault: Fault) -> float:
@@ -205,20 +205,20 @@
     One standard error above what was seen of the old one: with few answers it may be that high.
     """
     answers = old.answers + PRIOR_ANSWERS
-    share = (old.of(fault) + PRIOR_ANSWERS * PRIOR_SHARE) / answers
+    share = (old.count_of(fault) + PRIOR_ANSWERS * PRIOR_BAD_SHARE) / answers
     error = math.sqrt(share * (1.0 - share) / answers)
-    return min(MOST_SHARE - BAD_EXCESS, max(LEAST_SHARE, share + error))
+    return min(MAX_SHARE - BAD_EXCESS, max(MIN_SHARE, share + error))
 
 
-def _late_share(lately: AnswerCounts, fault: Fault) -> float:
-    if lately.answers < LEAST_LATE_ANSWERS:
+def _recent_share(recent: AnswerCounts, fault: Fault) -> float:
+    if recent.answers < MIN_RECENT_ANSWERS:
         return 0.0
-    return min(MOST_SHARE - BAD_EXCESS, lately.of(fault) / lately.answers)
+    return min(MAX_SHARE - BAD_EXCESS, recent.count_of(fault) / recent.answers)
 
 
 def log_ratio(bad: int, good: int, expected: float) -> float:
     """Return how much more likely these answers are from a bad version than from a good one."""
-    worse = min(MOST_SHARE, expected + BAD_EXCESS)
+    worse = min(MAX_SHARE, expected + BAD_EXCESS)
     return bad * math.log(worse / expected) + good * math.log((1.0 - worse) / (1.0 - expected))
 
 
@@ -227,15 +227,15 @@
     return _by_route(_without_worst(evidence.new))
 
 
-def _leaning(evidence: Evidence, fault: Fault) -> float:
+def _total_ratio(evidence: Evidence, fault: Fault) -> float:
     """Return the log likelihood ratio of all of the new version's answers.
 
     With few answers none is left out, neither the worst replicas' nor, by that, good ones.
     """
     return sum(
         log_ratio(
-            counts.of(fault),
-            counts.answers - counts.of(fault),
+            counts.count_of(fault),
+            counts.answers - counts.count_of(fault),
             expected_share(evidence.old.get(route, AnswerCounts()), fault),
         )
         for route, counts in _by_route(evidence.new.values()).items()
@@ -251,7 +251,7 @@
 
 
 def _without_worst(replicas: Mapping[int, CountsByRoute]) -> Iterable[CountsByRoute]:
-    left_out = math.ceil(WORST_SHARE * len(replicas)) if len(replicas) >= LEAST_COMPARED else 0
+    left_out = math.ceil(WORST_SHARE * len(replicas)) if len(replicas) >= MIN_COMPARED_REPLICAS else 0
     by_badness = sorted(replicas.items(), key=lambda item: (-_badness(item[1]), item[0]))
     return [routes for _, routes in by_badness[left_out:]]
 
--- a/winchfork/platform/documents.py
+++ b/winchfork/platform/documents.py
@@ -217,7 +217,7 @@
         accepting=entry.state is _ReplicaState.READY,
         versions={model.name: model.version for model in entry.models},
         software=entry.version,
-        born_ms=entry.born,
+        started_at_ms=entry.born,
     )
 
 
--- a/winchfork/router/attempt.py
+++ b/winchfork/router/attempt.py
@@ -95,7 +95,7 @@
     async def run(self) -> Outcome:
         """Send the request and follow its answer to the end."""
         plan = self.plan
-        plan.replica.note_sent(id(self), plan.unread_tokens, plan.ends_s, plan.memory_tokens)
+        plan.replica.record_sent(id(self), plan.unread_tokens, plan.ends_s, plan.memory_tokens)
         exchange = Exchange(self._inbox.put, self._is_own, plan.no_body, self._read_head)
         try:
             self._connection.start(plan.message, exchange)
@@ -109,7 +109,7 @@
                     return outcome
         finally:
             self._note_read()
-            plan.replica.note_done(id(self), plan.memory_tokens)
+            plan.replica.record_ended(id(self), plan.memory_tokens)
 
     @property
     def replica(self) -> RelayReplica:
@@ -255,5 +255,5 @@
         self._inbox.drop_answers()
 
     def _note_read(self) -> None:
-        self.plan.replica.note_started(self._unread_counted)
+        self.plan.replica.record_prefilled(self._unread_counted)
         self._unread_counted = 0
--- a/winchfork/router/attempt_evidence.py
+++ b/winchfork/router/attempt_evidence.py
@@ -34,14 +34,14 @@
         self._note_run(plan, outcome)
         self._note_answered(replica, outcome, record)
         if isinstance(outcome, Delivered):
-            replica.note_success(took_s, now_s)
-            self._state.fleet.note_answered(replica)
+            replica.record_success(took_s, now_s)
+            self._state.fleet.record_answer(replica)
             if self._admitted.fields.prompt is not None:
                 self._state.note_run(self._admitted.fields.prompt.output_tokens, took_s)
         elif isinstance(outcome, NotRun) and outcome.other_replica:
             self._state.note_superseded(replica, outcome.other_replica)
         elif isinstance(outcome, NotRun) and outcome.same_replica:
-            self._state.fleet.note_answered(replica)
+            self._state.fleet.record_answer(replica)
             refused = plan.weights_version or 0
             return self._state.note_refused_version(replica, plan.model, refused)
         elif isinstance(outcome, NotRun) and outcome.sent:
@@ -57,9 +57,9 @@
     ) -> None:
         """Tell whether a request was turned away: a replica on trial is shown to take them."""
         if isinstance(outcome, NotRun):
-            replica.notice.note_answered(record.sent_s, turned_away=True)
+            replica.notice.record_answer(record.sent_s, refused=True)
         elif isinstance(outcome, Delivered) or _has_answer(outcome):
-            replica.notice.note_answered(record.sent_s, turned_away=False)
+            replica.notice.record_answer(record.sent_s, refused=False)
 
     def _note_run(self, plan: AttemptPlan, outcome: Outcome) -> None:
         """Tell whether the replica outlived the request; one that leaves may cut it as planned."""
@@ -74,7 +74,7 @@
             crashes.note_outlived(digest)
         elif outcome.broke:
             listed = self._state.fleet.get(replica.replica_id) is replica
-            if listed and replica.wants_work:
+            if listed and replica.is_in_service:
                 crashes.note_broken(replica, digest, silent=outcome.silent)
 
     def _note_software(
--- a/winchfork/router/crash_guard.py
+++ b/winchfork/router/crash_guard.py
@@ -153,7 +153,7 @@
             "replica_ended",
             "WARNING",
             replica=replica.replica_id,
-            born_ms=replica.listing.born_ms or None,
+            born_ms=replica.listing.started_at_ms or None,
             evidence=evidence.value,
             requests=len(digests),
         )
--- a/winchfork/router/dispatch.py
+++ b/winchfork/router/dispatch.py
@@ -6,15 +6,15 @@
 
 from winchfork.core.engine_speed import PRIOR_FIRST_TOKEN_S, EngineSpeed
 from winchfork.core.part_index import part_key, shared_keys
-from winchfork.core.place_queue import PlaceOpening
-from winchfork.core.placement_request import PromptPlacement, RelayDecision
-from winchfork.core.prompt_cost import spread_cost_s, worth_moving
+from winchfork.core.permit_queue import PermitOpening
+from winchfork.core.placement_request import PromptPlacementRequest, RelayDecision
+from winchfork.core.prompt_cost import max_jitter_s, worth_moving
 from winchfork.core.prompt_parts import CacheScope, Prompt
 from winchfork.core.relay_placement import place_prompt
 from winchfork.core.relay_replica import RelayReplica
 from winchfork.core.rendezvous import member_hash
 from winchfork.core.replica_notice import AnswerNotice
-from winchfork.core.task_placement import TaskPlacement, place_task
+from winchfork.core.task_placement import TaskPlacementRequest, place_task
 from winchfork.core.urgency import urgency_level
 from winchfork.router.attempt import AttemptPlan
 from winchfork.router.dialect import Dialect, DispatchFields
@@ -65,28 +65,28 @@
             if self._state.is_connected(replica.listing.address)
         )
         if self._prompt is None:
-            task = TaskPlacement(
+            task = TaskPlacementRequest(
                 settings.zone, now_s, settings.regions, delay.task_crossing_s, connected
             )
             return place_task(task, candidates)
-        read_tokens_per_s = self._speed.read_tokens_per_s
-        request = PromptPlacement(
+        read_tokens_per_s = self._speed.prefill_tokens_per_s
+        request = PromptPlacementRequest(
             prompt=self._prompt,
             scope=self._scope(self._prompt),
             zone=settings.zone,
             now_s=now_s,
-            run_s=self._prompt.output_tokens * self._state.token_s,
+            expected_run_s=self._prompt.output_tokens * self._state.token_s,
             copy_tokens_per_s=self._state.copy_tokens_per_s(self.service),
             cache_tokens=self._state.cache_tokens(self.service),
             mean_run_s=self._state.mean_run_s,
-            spread_s=spread_cost_s(self._prompt, self._state.daemons, read_tokens_per_s),
-            spread_key=member_hash(self._admitted.fields.request_id),
+            max_jitter_s=max_jitter_s(self._prompt, self._state.daemons, read_tokens_per_s),
+            jitter_key=member_hash(self._admitted.fields.request_id),
             old_versions=self._old_versions(self._prompt.model, candidates),
             stores=self._stores,
             gap_target_s=self._admitted.route.gap_target_s,
-            read_tokens_per_s=read_tokens_per_s,
+            prefill_tokens_per_s=read_tokens_per_s,
             regions=settings.regions,
-            crossing_s=delay.prompt_crossing_s,
+            cross_region_cost_s=delay.prompt_crossing_s,
             connected=connected,
         )
         stores = [choice.store for choice in self._stores.values()]
@@ -110,7 +110,7 @@
         """Return in how many seconds a replica will take work that takes none now."""
         return self._state.choice.next_opening_s(self.service, tried, on_target=self._on_target)
 
-    def scarce_places(self, tried: set[str]) -> list[PlaceOpening] | None:
+    def scarce_places(self, tried: set[str]) -> list[PermitOpening] | None:
         """Return the places to come where every replica left has named a limit, else None."""
         return self._state.choice.scarce_places(self.service, tried, on_target=self._on_target)
 
@@ -129,10 +129,10 @@
     def family_key(self, version: int | None) -> str | None:
         """Return the name of the prompt's last shared part under a version, as peers tell it."""
         prompt = self._prompt
-        if prompt is None or version is None or not prompt.shared:
+        if prompt is None or version is None or not prompt.shared_parts:
             return None
         namespace = self._scope(prompt).namespace(version)
-        return f"{part_key(namespace, prompt.shared[-1]):016x}"
+        return f"{part_key(namespace, prompt.shared_parts[-1]):016x}"
 
     def worth_moving(self, elapsed_s: float, tried: set[str]) -> bool:
         """Whether a run's rest elsewhere saves more waiting than a second reading costs."""
@@ -140,7 +140,7 @@
         if prompt is None or not self._available(tried):
             return False
         expected_s = prompt.output_tokens * self._state.token_s
-        read_s = prompt.prompt_tokens / self._speed.read_tokens_per_s
+        read_s = prompt.prompt_tokens / self._speed.prefill_tokens_per_s
         return worth_moving(expected_s, elapsed_s, read_s)
 
     def _old_versions(self, model: str, candidates: Sequence[RelayReplica]) -> frozenset[int]:
@@ -151,7 +151,7 @@
         now_s = self._state.clock() + EXPECTED_BEGIN_S
         versions = {replica.versions.get(model, 0) for replica in candidates}
         return frozenset(
-            version for version in versions if history.due_s(version, FULL_WORTH_S) <= now_s
+            version for version in versions if history.expires_at_s(version, FULL_WORTH_S) <= now_s
         )
 
     def plan(
@@ -167,7 +167,7 @@
             message=self._message(fields),
             request_id=self._admitted.fields.request_id,
             kind=self._admitted.route.kind,
-            unread_tokens=decision.unread_tokens,
+            unread_tokens=decision.prefill_tokens,
             memory_tokens=prompt.memory_tokens if prompt else 0,
             model=prompt.model if prompt else "",
             weights_version=version,
@@ -210,7 +210,7 @@
         )
 
     def _urgency(self, decision: RelayDecision) -> int:
-        read_s = decision.unread_tokens / self._speed.read_tokens_per_s
+        read_s = decision.prefill_tokens / self._speed.prefill_tokens_per_s
         target_s = self._admitted.route.target_latency_s
         return urgency_level(self._admitted.priority, read_s, target_s)
 
@@ -225,7 +225,7 @@
     def _scope(self, prompt: Prompt) -> CacheScope:
         tenant = self._admitted.tenant
         isolated = tenant is not None and tenant.isolated
-        return CacheScope.of(tenant.name if tenant else "", isolated, prompt.model)
+        return CacheScope.for_tenant(tenant.name if tenant else "", isolated, prompt.model)
 
     def _expected_run_s(self, decision: RelayDecision) -> float:
         if self._prompt is None:
@@ -240,20 +240,20 @@
         """
         if self._prompt is None:
             return 1.0
-        tokens = decision.replica.queued_tokens + decision.unread_tokens
-        return PRIOR_FIRST_TOKEN_S + tokens / self._speed.read_tokens_per_s
+        tokens = decision.replica.queued_prefill_tokens + decision.prefill_tokens
+        return PRIOR_FIRST_TOKEN_S + tokens / self._speed.prefill_tokens_per_s
 
     def _on_read(self, decision: RelayDecision, version: int | None) -> Callable[[], None]:
         """Return what is learned when the first token shows that the prompt has been read."""
         replica = decision.replica
         sent_s = self._state.clock()
-        alone = not replica.queued_tokens and self._is_read_whole(decision)
+        alone = not replica.queued_prefill_tokens and self._is_read_whole(decision)
 
         def note() -> None:
             self._note_kept(replica, version, decision.save_to)
             if alone:
                 took_s = self._state.clock() - sent_s
-                self._speed.note_first_token(decision.unread_tokens, took_s)
+                self._speed.record_first_token(decision.prefill_tokens, took_s)
 
         return note
 
@@ -262,7 +262,7 @@
         if decision.copied_tokens:
             return False
         shared_tokens = self._prompt.shared_tokens if self._prompt else 0
-        return decision.copy_from is None or decision.kept_tokens == shared_tokens
+        return decision.copy_from is None or decision.cached_tokens == shared_tokens
 
     def _note_kept(
         self, replica: RelayReplica, version: int | None, saved_to: RelayReplica | None
--- a/winchfork/router/document_installer.py
+++ b/winchfork/router/document_installer.py
@@ -125,7 +125,7 @@
         """Remove a replica; one that only vanished during an outage is kept for a while."""
         self._restored.forget(replica_id)
         replica = self._state.fleet.get(replica_id)
-        if item.missing_after_outage and replica is not None and replica.wants_work:
+        if item.missing_after_outage and replica is not None and replica.is_in_service:
             self._state.vanished.setdefault(replica_id, self._state.clock() + RETURN_S)
         else:
             self._remove_replica(replica_id, item.revision)
@@ -143,7 +143,7 @@
 
     def _install_target(self, target: WeightsTarget, revision: int, news: NewsDate) -> None:
         history = self._state.versions.setdefault(target.model, VersionHistory())
-        if history.note(target.version, news.at_s, assumed=news.assumed):
+        if history.add(target.version, news.at_s, assumed=news.assumed):
             log_event(
                 "weights_named", model=target.model, version=target.version, revision=revision
             )
@@ -161,8 +161,8 @@
             log_event(
                 "older_incarnation_listed",
                 replica=listing.replica_id,
-                born_ms=listing.born_ms,
-                known_born_ms=known.listing.born_ms,
+                born_ms=listing.started_at_ms,
+                known_born_ms=known.listing.started_at_ms,
                 revision=revision,
             )
             return
@@ -178,7 +178,7 @@
                 replica=listing.replica_id,
                 service=listing.service,
                 zone=listing.zone,
-                born_ms=listing.born_ms or None,
+                born_ms=listing.started_at_ms or None,
                 accepting=listing.accepting,
                 software=listing.software or None,
                 versions=",".join(str(version) for version in listing.versions.values()) or None,
--- a/winchfork/router/evidence_exchange.py
+++ b/winchfork/router/evidence_exchange.py
@@ -13,13 +13,13 @@
 import msgspec
 
 from winchfork.core.member import Member
-from winchfork.core.software_plan import has_overspent
+from winchfork.core.software_plan import has_exhausted_budget
 from winchfork.core.software_state import SoftwarePhase, SoftwareState, StopCause
 from winchfork.core.version_evidence import (
     Alarm,
     AnswerCounts,
     Evidence,
-    Opinion,
+    Assessment,
     VersionTest,
 )
 from winchfork.logs import log_event
@@ -113,10 +113,10 @@
             routes.setdefault(note.route, AnswerCounts()).add(_counts(note))
         return Evidence(old, new)
 
-    def opinion(self, service: str) -> Opinion:
+    def opinion(self, service: str) -> Assessment:
         """Return what the evidence says of the target, on a daemon that judges or leads."""
         heard = self._heard.get(service)
-        return heard.test.opinion if heard is not None else Opinion.OPEN
+        return heard.test.assessment if heard is not None else Assessment.INCONCLUSIVE
 
     # Hearing
 
@@ -231,22 +231,22 @@
         compares_times = record.share <= MOST_COMPARED_SHARE
         evidence = self.evidence(record.service)
         heard.judged_s = now_s
-        alarm = heard.test.judge(evidence, compares_times=compares_times)
-        if record.returning or record.phase is SoftwarePhase.SETTLED:
+        alarm = heard.test.evaluate(evidence, compare_latency=compares_times)
+        if record.returning or record.phase is SoftwarePhase.STABLE:
             return
         if alarm is not None:
             self._log_alarm(record, alarm, evidence)
             self._stop(record, heard, StopCause.BAD, now_s)
-        elif self._has_overspent(record, heard.test.opinion, evidence):
-            self._stop(record, heard, StopCause.SPENT, now_s)
+        elif self._has_overspent(record, heard.test.assessment, evidence):
+            self._stop(record, heard, StopCause.BUDGET_EXHAUSTED, now_s)
 
-    def _has_overspent(self, record: SoftwareState, opinion: Opinion, evidence: Evidence) -> bool:
+    def _has_overspent(self, record: SoftwareState, opinion: Assessment, evidence: Evidence) -> bool:
         """Whether the leader would roll back a version that moved without approval.
 
         Every judge looks, since there may be no leader just then.
         """
         limits = self._state.settings.bounds.exposure
-        return has_overspent(record, opinion, evidence.new_answers, evidence.all_answers, limits)
+        return has_exhausted_budget(record, opinion, evidence.new_answers, evidence.all_answers, limits)
 
     def _stop(self, record: SoftwareState, heard: _Heard, cause: StopCause, now_s: float) -> None:
         own_id = self._state.settings.node_id
--- a/winchfork/router/limit_book.py
+++ b/winchfork/router/limit_book.py
@@ -11,7 +11,7 @@
 from winchfork.core.peer_reports import PeerReports
 from winchfork.core.relay_replica import RelayReplica
 from winchfork.core.rendezvous import rendezvous_rank
-from winchfork.core.request_limit import SETTLE_S, LimitChange, LimitOrder
+from winchfork.core.request_limit import STABILIZATION_S, LimitChange, LimitPosition
 from winchfork.logs import log_event
 from winchfork.router.line_limit import LineLimit
 
@@ -55,7 +55,7 @@
         return [
             replica
             for replica in self._named.values()
-            if replica.notice.limit.per_s is not None and fleet.holds(replica)
+            if replica.notice.limit.per_s is not None and fleet.is_listed(replica)
         ]
 
     def note_listed(self, replica: RelayReplica) -> None:
@@ -71,7 +71,7 @@
         if sent_s is not None and limit.has_ended_since(sent_s):
             return
         was_per_s = limit.per_s
-        change = limit.name(per_s, self._state.clock())
+        change = limit.update(per_s, self._state.clock())
         self._hearsay.forget(replica.order_hash)
         self._after(replica, change, was_per_s)
         self.on_heard(replica, change)
@@ -82,7 +82,7 @@
         if not limit.may_be_ended_by_answer(sent_s):
             return
         was_per_s = limit.per_s
-        change = limit.end(self._state.clock())
+        change = limit.clear(self._state.clock())
         self._after(replica, change, was_per_s)
         self.on_heard(replica, change)
 
@@ -93,9 +93,9 @@
         limit = replica.notice.limit
         was_per_s = limit.per_s
         if told.per_s is None:
-            self._after(replica, limit.end(told.heard_s), was_per_s, sender_id)
+            self._after(replica, limit.clear(told.heard_s), was_per_s, sender_id)
         elif self._is_credible(sender_id, replica):
-            change = limit.name(told.per_s, told.heard_s)
+            change = limit.update(told.per_s, told.heard_s)
             self._after(replica, change, was_per_s, sender_id)
 
     def _is_credible(self, sender_id: str, replica: RelayReplica) -> bool:
@@ -127,7 +127,7 @@
         own_id = self._state.settings.node_id
         # One that is not counted, since it stops, comes last.
         place = order.index(own_id) if own_id in order else len(order)
-        replica.notice.limit.take_place(LimitOrder(place, len(order)), self._changed_s + SETTLE_S)
+        replica.notice.limit.set_position(LimitPosition(place, len(order)), self._changed_s + STABILIZATION_S)
 
     def _order(self, replica: RelayReplica) -> list[str]:
         """Return the daemons, the nearest to a replica first: to others it is the dearer one."""
@@ -162,7 +162,7 @@
             per_s=limit.per_s,
             was_per_s=was_per_s,
             told_by=told_by,
-            place=limit.order.place,
+            place=limit.position.rank,
             holders=limit.holders,
             in_flight=replica.in_flight,
         )
--- a/winchfork/router/notice_book.py
+++ b/winchfork/router/notice_book.py
@@ -8,7 +8,7 @@
 
 from winchfork.core.peer_reports import PeerReports
 from winchfork.core.relay_replica import RelayReplica
-from winchfork.core.replica_notice import AnswerNotice, NoticeChange, ToldPause
+from winchfork.core.replica_notice import AnswerNotice, NoticeChange, ReportedPause
 from winchfork.logs import log_event
 from winchfork.router.line_limit import LineLimit
 from winchfork.router.unknown_headers import UnknownHeaders
@@ -42,7 +42,7 @@
         ``answers_sent_s`` is when the request was sent that it answers, if a replica's own program
         answers a request: only these name no limit where there is none.
         """
-        if answers_sent_s is not None and not notice.names_limit:
+        if answers_sent_s is not None and not notice.has_limit:
             self._state.limits.note_answer(replica, answers_sent_s)
         if notice.is_empty:
             return
@@ -57,10 +57,10 @@
             )
         if notice.limit_per_s is not None:
             state.limits.note_named(replica, notice.limit_per_s, answers_sent_s)
-        for name in notice.unknown:
+        for name in notice.unknown_names:
             if self._unknown.note(name):
                 log_event("notice_unknown", "WARNING", replica=replica.replica_id, header=name)
-        change = state.fleet.note_notice(replica, notice, now_s, state.generator.random())
+        change = state.fleet.record_notice(replica, notice, now_s, state.generator.random())
         if change is not NoticeChange.NOTHING:
             self._hearsay.forget(replica.order_hash)
             self._log(replica, notice, change)
@@ -69,14 +69,14 @@
         if listed is not None and listed is not replica:
             self.adopt(listed)
 
-    def take(self, sender_id: str, replica: RelayReplica, told: ToldPause) -> None:
+    def take(self, sender_id: str, replica: RelayReplica, told: ReportedPause) -> None:
         """Take in what a replica has said to a peer."""
         now_s = self._state.clock()
         service = self._state.fleet.of_service(replica.listing.service)
-        heeded = {item.order_hash for item in service if item.notice.opens_in_s(now_s) > 0.0}
+        heeded = {item.order_hash for item in service if item.notice.available_in_s(now_s) > 0.0}
         if not self._hearsay.accept(replica.order_hash, sender_id, heeded, len(service)):
             return
-        if replica.notice.heed_peer(told, now_s):
+        if replica.notice.apply_peer_pause(told, now_s):
             log_event(
                 "replica_notice",
                 replica=replica.replica_id,
@@ -89,13 +89,13 @@
 
     def adopt(self, replica: RelayReplica) -> None:
         """Heed what a new incarnation may have said itself before the list told of it."""
-        if not replica.listing.born_ms:
+        if not replica.listing.started_at_ms:
             return
-        former = self._state.fleet.former_notice(replica)
+        former = self._state.fleet.previous_notice(replica)
         if former is None:
             return
         now_s = self._state.clock()
-        age_s = self.wall_clock() - replica.listing.born_ms / 1000.0
+        age_s = self.wall_clock() - replica.listing.started_at_ms / 1000.0
         if replica.notice.adopt(former, now_s - age_s, now_s):
             self._state.limits.note_listed(replica)
             log_event(
@@ -104,7 +104,7 @@
                 notice="adopted",
                 backoff_s=max(0.0, replica.notice.backoff_until_s - now_s),
                 limit_per_s=replica.notice.limit.per_s,
-                heard_s_ago=now_s - former.heard_s,
+                heard_s_ago=now_s - former.received_at_s,
                 started_s_ago=age_s,
             )
 
--- a/winchfork/router/notice_exchange.py
+++ b/winchfork/router/notice_exchange.py
@@ -13,7 +13,7 @@
 
 from winchfork.core.member import MemberStatus
 from winchfork.core.relay_replica import RelayReplica
-from winchfork.core.replica_notice import ToldPause
+from winchfork.core.replica_notice import ReportedPause
 from winchfork.core.request_limit import LimitChange
 from winchfork.core.zone_hubs import FleetView
 from winchfork.router.limit_book import ToldLimit
@@ -83,7 +83,7 @@
                 self._take_note(message.sender_id, replica, note)
 
     def _take_note(self, sender_id: str, replica: RelayReplica, note: NoticeNote) -> None:
-        pause = ToldPause(note.draining, note.backoff_ms / 1000.0)
+        pause = ReportedPause(note.draining, note.backoff_ms / 1000.0)
         if not pause.is_empty:
             self._state.notices.take(sender_id, replica, pause)
         if note.limit is not None:
@@ -100,7 +100,7 @@
 
     def _note_pause(self, replica: RelayReplica) -> None:
         now_s = self._state.clock()
-        if replica.notice.draining or replica.notice.told_backoff_until_s > now_s:
+        if replica.notice.draining or replica.notice.reported_backoff_until_s > now_s:
             self._add_news(replica, RETELLS)
 
     def _add_news(self, replica: RelayReplica, retells: int) -> None:
@@ -145,12 +145,12 @@
         now_s = self._state.clock()
         notice = replica.notice
         limit = None
-        if math.isfinite(notice.limit.heard_s):
-            age_ms = max(0, int((now_s - notice.limit.heard_s) * 1000))
+        if math.isfinite(notice.limit.received_at_s):
+            age_ms = max(0, int((now_s - notice.limit.received_at_s) * 1000))
             limit = LimitNote(notice.limit.per_s, age_ms)
-        backoff_ms = max(0, int((notice.told_backoff_until_s - now_s) * 1000))
+        backoff_ms = max(0, int((notice.reported_backoff_until_s - now_s) * 1000))
         return NoticeNote(replica.order_hash, notice.draining, backoff_ms, limit)
 
 
 def _retell_s(replica: RelayReplica) -> float:
-    return RETELL_S + min(RETELL_S, PLACE_DELAY_S * replica.notice.limit.order.place)
+    return RETELL_S + min(RETELL_S, PLACE_DELAY_S * replica.notice.limit.position.rank)
--- a/winchfork/router/relayed_request.py
+++ b/winchfork/router/relayed_request.py
@@ -173,7 +173,7 @@
             self._charge.charge_again()
         attempt = Attempt(plan, connection, self._inbox, self._answer, self._service.dialect)
         self._record.note_sent()
-        replica.notice.note_sent(self._record.sent_s)
+        replica.notice.record_sent(self._record.sent_s)
         self._count_sent(replica)
         family = self._dispatch.family_key(plan.weights_version)
         self._record.log_sent(decision, plan, family, self._repeats.time_left_s)
--- a/winchfork/router/replica_choice.py
+++ b/winchfork/router/replica_choice.py
@@ -5,8 +5,8 @@
 import math
 from typing import TYPE_CHECKING
 
-from winchfork.core.engine_speed import PRIOR_READ_TOKENS_PER_S
-from winchfork.core.place_queue import PlaceOpening
+from winchfork.core.engine_speed import PRIOR_PREFILL_TOKENS_PER_S
+from winchfork.core.permit_queue import PermitOpening
 from winchfork.core.prompt_parts import Prompt
 from winchfork.core.relay_replica import RelayReplica
 from winchfork.core.weight_rollout import PRIOR_LOAD_S
@@ -51,12 +51,12 @@
         candidates = [
             replica
             for replica in self._state.fleet.of_service(service)
-            if replica.takes_requests(now_s)
+            if replica.accepts_requests(now_s)
             and replica.replica_id not in tried
             and (prompt is None or self._weights_allowed(replica, prompt, now_s))
         ]
         candidates = self._state.software.allowed(service, candidates, on_target=on_target)
-        sound = [replica for replica in candidates if now_s >= replica.avoided_until_s]
+        sound = [replica for replica in candidates if now_s >= replica.ejected_until_s]
         unreachable = self._state.reach.unreachable(now_s)
         if unreachable:
             reached = [item for item in sound if item.listing.zone not in unreachable]
@@ -74,7 +74,7 @@
         now_s = self._state.clock()
         left = self._left(service, tried)
         openings = [
-            replica.opens_in_s(now_s) or PRIOR_LOAD_S
+            replica.available_in_s(now_s) or PRIOR_LOAD_S
             for replica in self._state.software.allowed(service, left, on_target=on_target)
         ]
         opening_s = min(openings, default=math.inf)
@@ -90,7 +90,7 @@
 
     def scarce_places(
         self, service: str, tried: set[str], *, on_target: bool = False
-    ) -> list[PlaceOpening] | None:
+    ) -> list[PermitOpening] | None:
         """Return when this daemon may send to each replica that is left, if all name limits.
 
         None where one takes work without a limit, or will, or where none is left.
@@ -100,7 +100,7 @@
             return None
         now_s = self._state.clock()
         return [
-            PlaceOpening(replica.opens_in_s(now_s), replica.notice.limit.interval_s)
+            PermitOpening(replica.available_in_s(now_s), replica.notice.limit.interval_s)
             for replica in self._state.software.allowed(service, left, on_target=on_target)
         ]
 
@@ -119,7 +119,7 @@
         """Return how many of a service's replicas want no requests, and why; for operators."""
         now_s = self._state.clock()
         replicas = self._state.fleet.of_service(service)
-        draining = sum(not replica.wants_work for replica in replicas)
+        draining = sum(not replica.is_in_service for replica in replicas)
         resting = sum(replica.notice.is_backing_off(now_s) for replica in replicas)
         limited = self.at_limit(service)
         counts = {"drain": draining, "back off": resting, "are at their limit": limited}
@@ -132,19 +132,19 @@
         """Return how many of a service's replicas take nothing from this daemon by their limits."""
         now_s = self._state.clock()
         limited = self._state.limits.limited(service)
-        return sum(replica.notice.limit.opens_in_s(now_s) > 0.0 for replica in limited)
+        return sum(replica.notice.limit.available_in_s(now_s) > 0.0 for replica in limited)
 
     def weights_due_s(self, model: str, version: int | None) -> float:
         """Return when no request may begin on a version any more; infinite without a newer one."""
         history = self._state.versions.get(model)
         if history is None or version is None:
             return math.inf
-        return history.due_s(version, self._state.settings.bounds.weights_s)
+        return history.expires_at_s(version, self._state.settings.bounds.weights_s)
 
     def _weights_allowed(self, replica: RelayReplica, prompt: Prompt, now_s: float) -> bool:
         """Whether a request sent now will begin before the replica's weights are too old."""
-        tokens = QUEUE_MARGIN * replica.queued_tokens + OWN_PROMPT_MARGIN * prompt.prompt_tokens
-        known_rate = self._state.engine_speed(replica.listing.service).read_tokens_per_s
-        margin_s = BEGIN_MARGIN_S + tokens / min(PRIOR_READ_TOKENS_PER_S, known_rate)
+        tokens = QUEUE_MARGIN * replica.queued_prefill_tokens + OWN_PROMPT_MARGIN * prompt.prompt_tokens
+        known_rate = self._state.engine_speed(replica.listing.service).prefill_tokens_per_s
+        margin_s = BEGIN_MARGIN_S + tokens / min(PRIOR_PREFILL_TOKENS_PER_S, known_rate)
         due_s = self.weights_due_s(prompt.model, replica.versions.get(prompt.model, 0))
         return now_s + min(MAX_BEGIN_MARGIN_S, margin_s) < due_s
--- a/winchfork/router/replica_search.py
+++ b/winchfork/router/replica_search.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from winchfork.core.place_queue import (
-    PlaceOpening,
-    PlaceTicket,
-    patience_s,
-    place_in_s,
+from winchfork.core.permit_queue import (
+    PermitOpening,
+    PermitTicket,
+    max_wait_s,
+    permit_in_s,
 )
 from winchfork.core.placement_request import RelayDecision
 from winchfork.errors import Failure, FailureKind, RunState
@@ -66,7 +66,7 @@
         self._tried = tried
         self._inbox = inbox
         self._queue = state.place_queues[dispatch.service]
-        self._ticket: PlaceTicket | None = None
+        self._ticket: PermitTicket | None = None
         self._waits_for_place = False
 
     async def find(self, ran: Callable[[], RunState]) -> RelayDecision | Failure | Stopped:
@@ -125,15 +125,15 @@
         return _Opening(math.inf if opening_s is None else opening_s, most_s)
 
     def _look_in_turn(
-        self, decision: RelayDecision | None, places: list[PlaceOpening], most_s: float
+        self, decision: RelayDecision | None, places: list[PermitOpening], most_s: float
     ) -> RelayDecision | _Opening:
         """Return a replica if its place is this request's, or when one will be."""
         if self._ticket is None:
             self._ticket = self._queue.join(self._admitted.priority)
-        opens_s = place_in_s(places, self._queue.ahead(self._ticket))
+        opens_s = permit_in_s(places, self._queue.ahead(self._ticket))
         if decision is not None and opens_s <= 0.0:
             return decision
-        patient_s = patience_s(places, self._admitted.route.target_latency_s)
+        patient_s = max_wait_s(places, self._admitted.route.target_latency_s)
         waited_s = self._repeats.waited_s
         return _Opening(max(opens_s, LOOK_AGAIN_S), min(most_s, patient_s - waited_s))
 
--- a/winchfork/router/restored_entries.py
+++ b/winchfork/router/restored_entries.py
@@ -65,4 +65,4 @@
         if known is not None and known.listing.incarnation == listing.incarnation:
             is_back = listing.accepting and not known.listing.accepting
             return math.inf if is_back else 0.0
-        return HELD_BACK_S if self._fleet.has_gone(listing.incarnation) else 0.0
+        return HELD_BACK_S if self._fleet.was_removed(listing.incarnation) else 0.0
--- a/winchfork/router/software_rollout.py
+++ b/winchfork/router/software_rollout.py
@@ -95,7 +95,7 @@
             _note_seen(self._records_seen, service, self._versions.revision(service), now_s)
             if self._versions.state(service).running:
                 answers = self._evidence.evidence(service).all_answers
-                self._rates[service].note(answers, now_s)
+                self._rates[service].record(answers, now_s)
             order = self._versions.orders.get(service)
             if order is not None:
                 self._note_order_seen(order, now_s)
@@ -188,7 +188,7 @@
         self._state.fleet.refresh()
         replicas = self._state.fleet.of_service(record.service)
         now_s = self._state.clock()
-        working = [item for item in replicas if item.accepting and now_s >= item.avoided_until_s]
+        working = [item for item in replicas if item.accepting and now_s >= item.ejected_until_s]
         new = [item for item in working if item.listing.software == record.target]
         old = [item for item in working if item.listing.software == record.in_force]
         leaving = [item for item in replicas if item.listing.software != record.target]
@@ -202,12 +202,12 @@
             new_slots=sum(item.listing.slots for item in new),
             old_slots=sum(item.listing.slots for item in old),
             old_running=sum(item.running for item in leaving),
-            everyone_heard=self._hears_everyone(record.service),
+            all_daemons_reported=self._hears_everyone(record.service),
             new_answers=evidence.new_answers,
             all_answers=evidence.all_answers,
             recent_per_s=self._rates[record.service].per_s,
-            opinion=self._evidence.opinion(record.service),
-            stopped=self._versions.stop_cause(record),
+            assessment=self._evidence.opinion(record.service),
+            stop_cause=self._versions.stop_cause(record),
             longest_run_s=LONG_RUN_RATIO * self._state.mean_run_s,
         )
 
--- a/winchfork/router/software_versions.py
+++ b/winchfork/router/software_versions.py
@@ -11,20 +11,20 @@
 
 import msgspec
 
-from winchfork.core.exposure import ExposureCredit, lane_of
+from winchfork.core.exposure import ExposureCredit, bucket_of
 from winchfork.core.relay_fleet import RelayFleet
 from winchfork.core.relay_replica import RelayReplica
 from winchfork.core.rendezvous import member_hash
-from winchfork.core.software_orders import NO_ORDER, OrderBook
+from winchfork.core.software_orders import NO_ORDER, OrderRegistry
 from winchfork.core.software_state import (
     SoftwareOrder,
     SoftwarePhase,
     SoftwareState,
     StopCause,
     VersionRule,
-    first_replicas,
-    likely_in_force,
-    rule_of,
+    select_trial_replicas,
+    infer_in_force,
+    version_rule,
 )
 from winchfork.core.store_position import StorePosition
 from winchfork.logs import log_event
@@ -64,7 +64,7 @@
         #: Services whose record the store has lost, or holds as it was earlier.
         self._lost: set[str] = set()
         self.orders: dict[str, SoftwareOrder] = {}
-        self._order_book = OrderBook()
+        self._order_book = OrderRegistry()
         #: Revisions of orders and records that were there at the start.
         self._found: set[int] = set()
         #: The version taken to be in force where there is no record.
@@ -137,12 +137,12 @@
         self, order: SoftwareOrder, position: StorePosition, *, found: bool = False
     ) -> None:
         """Take an operator's order from the store; ``found`` as in :meth:`install`."""
-        news = self._order_book.take(order, position)
+        news = self._order_book.record(order, position)
         if news is None:
             return
         self.orders[order.service] = news.order
-        if news.former_number is not None:
-            self._renumber(order.service, news.former_number, order.revision)
+        if news.previous_number is not None:
+            self._renumber(order.service, news.previous_number, order.revision)
             return
         self._void_numbers_from(order)
         if found:
@@ -157,7 +157,7 @@
 
     def number_of(self, service: str, number: int) -> int:
         """Return what the order is called now that had a number before."""
-        return self._order_book.number_of(service, number)
+        return self._order_book.current_number(service, number)
 
     def _renumber(self, service: str, former: int, number: int) -> None:
         """The store holds an order under another revision since its return from a copy."""
@@ -179,7 +179,7 @@
         """A new order is later than the record, whose number is of an era that is over."""
         state = self._states.get(order.service)
         if state is not None and state.order_revision >= order.revision:
-            self._order_book.void(order.service, state.order_revision)
+            self._order_book.invalidate(order.service, state.order_revision)
             self._renumber(order.service, state.order_revision, NO_ORDER)
 
     def _with_number_now(self, state: SoftwareState) -> SoftwareState:
@@ -215,7 +215,7 @@
         if known and known in listed and known != target:
             return known
         accepting = [replica.listing.software for replica in replicas if replica.accepting]
-        self._assumed[service] = likely_in_force(accepting, listed, target)
+        self._assumed[service] = infer_in_force(accepting, listed, target)
         return self._assumed[service]
 
     def services(self) -> list[str]:
@@ -236,7 +236,7 @@
         if credit is None:
             credit = self._credits[service] = ExposureCredit(self._draw())
         credit.earn(state.share)
-        return credit.spend(lane_of(family, state.order_revision), state.share)
+        return credit.spend(bucket_of(family, state.order_revision), state.share)
 
     def _share_holds(self, state: SoftwareState) -> bool:
         return not self.is_stopped(state) and self._proof_age_s() <= self._share_age_s
@@ -252,19 +252,19 @@
             return list(replicas)
         if self.is_stopped(state) and not state.returning:
             return _of_version(replicas, state.in_force)
-        rule = rule_of(state, on_target=on_target and self._share_holds(state))
+        rule = version_rule(state, on_target=on_target and self._share_holds(state))
         first = self._first(service, replicas, rule)
-        return first or _of_version(replicas, rule.otherwise)
+        return first or _of_version(replicas, rule.fallback)
 
     def _first(
         self, service: str, replicas: Sequence[RelayReplica], rule: VersionRule
     ) -> list[RelayReplica]:
-        found = _of_version(replicas, rule.first)
+        found = _of_version(replicas, rule.preferred)
         if not rule.trial_replicas:
             return found
-        listed = _of_version(self._fleet.of_service(service), rule.first)
+        listed = _of_version(self._fleet.of_service(service), rule.preferred)
         hashes = [replica.order_hash for replica in listed if replica.accepting]
-        chosen = first_replicas(hashes, rule.trial_replicas)
+        chosen = select_trial_replicas(hashes, rule.trial_replicas)
         return [replica for replica in found if replica.order_hash in chosen]
 
     # Stopping
--- a/winchfork/router/state.py
+++ b/winchfork/router/state.py
@@ -11,14 +11,14 @@
 from winchfork.core.freshness import Freshness
 from winchfork.core.cached_parts_backlog import CachedPartsBacklog
 from winchfork.core.part_index import PartIndex
-from winchfork.core.place_queue import PlaceQueue
+from winchfork.core.permit_queue import PermitQueue
 from winchfork.core.placement_request import CacheStoreChoice
 from winchfork.core.prompt_parts import Prompt
 from winchfork.core.quota_ledger import QuotaLedger
 from winchfork.core.region_delay import RegionDelay
-from winchfork.core.relay_fleet import RelayFleet, StandingChange
+from winchfork.core.relay_fleet import RelayFleet, IncarnationChange
 from winchfork.core.relay_replica import RelayReplica, ReplicaListing
-from winchfork.core.routing import Route, RoutingTable, SplitChooser
+from winchfork.core.routing import Route, RoutingTable, TrafficSplitter
 from winchfork.core.sliding_retry_budget import RetryAllowance, SlidingRetryBudget
 from winchfork.core.store_outage import StoreOutageDetector
 from winchfork.core.store_position import StorePosition
@@ -71,7 +71,7 @@
         #: Replicas missing from the list since an outage, with the time until which they are kept.
         self.vanished: dict[str, float] = {}
         self.fleet = RelayFleet()
-        self.fleet.on_standing = _log_standing
+        self.fleet.on_incarnation_change = _log_standing
         self.cache_stores = CacheStores()
         self.region_delay = RegionDelay()
         self.parts = PartIndex()
@@ -91,7 +91,7 @@
             settings.bounds.exposure.rollback_s,
             enabled=settings.software_rollouts,
         )
-        self.splits = SplitChooser()
+        self.splits = TrafficSplitter()
         self.metrics = RouterMetrics()
         self.eras = StoreEras(self.metrics)
         self.stopping = False
@@ -121,7 +121,7 @@
         self._refused_documents = LineLimit()
         self.limits = LimitBook(self)
         #: Requests that wait for places of limited replicas, by service.
-        self.place_queues: defaultdict[str, PlaceQueue] = defaultdict(PlaceQueue)
+        self.place_queues: defaultdict[str, PermitQueue] = defaultdict(PermitQueue)
         self.notices = NoticeBook(self)
         self.quotas = QuotaLedger(bounds.quota, self.life)
         self._engine_speeds: defaultdict[str, EngineSpeed] = defaultdict(EngineSpeed)
@@ -176,13 +176,13 @@
 
     def note_kept(self, replica: RelayReplica, keys: list[int]) -> None:
         """Record parts that a replica has read for this daemon."""
-        news = self.parts.note_held(keys, replica.order_hash, self.clock())
+        news = self.parts.record_cached(keys, replica.order_hash, self.clock())
         if news:
             self.kept_news.add(replica.order_hash, news)
 
     def note_peer_kept(self, replica_hash: int, keys: tuple[int, ...]) -> None:
         """Record parts that a replica has read for another daemon."""
-        self.parts.note_held(keys, replica_hash, self.clock())
+        self.parts.record_cached(keys, replica_hash, self.clock())
 
     def note_run(self, output_tokens: int, run_s: float) -> None:
         """Learn how long runs take by the tokens that they may put out."""
@@ -225,7 +225,7 @@
 
     def note_superseded(self, replica: RelayReplica, by: str = "") -> None:
         """Record that another incarnation answers at a replica's address, ``by`` if it said so."""
-        self.fleet.note_other_answered(replica, by)
+        self.fleet.record_other_answered(replica, by)
         self.crashes.note_ended(replica, CrashEvidence.REPLACED)
 
     def note_failure(self, replica: RelayReplica, reason: str, *, certain: bool = False) -> None:
@@ -233,13 +233,13 @@
         now_s = self.clock()
         if certain:
             self.reach.record_failure(replica.listing.zone, replica.order_hash, now_s)
-        if replica.note_failure(now_s, certain=certain):
+        if replica.record_failure(now_s, certain=certain):
             log_event(
                 "replica_ejected",
                 replica=replica.replica_id,
                 reason=reason,
                 failures=replica.failures_in_row,
-                for_s=replica.avoided_until_s - now_s,
+                for_s=replica.ejected_until_s - now_s,
             )
             self.on_ejected(replica)
 
@@ -250,13 +250,13 @@
             if replica.order_hash != replica_hash:
                 continue
             self.reach.record_failure(replica.listing.zone, replica_hash, now_s)
-            if replica.note_accusation(accuser, now_s):
+            if replica.record_failure_report(accuser, now_s):
                 log_event(
                     "replica_ejected",
                     replica=replica.replica_id,
                     reason="peers have ejected it",
                     told_by=accuser,
-                    for_s=replica.avoided_until_s - now_s,
+                    for_s=replica.ejected_until_s - now_s,
                 )
 
     def engine_speed(self, service: str) -> EngineSpeed:
@@ -300,13 +300,13 @@
     )
 
 
-def _log_standing(change: StandingChange) -> None:
+def _log_standing(change: IncarnationChange) -> None:
     replica = change.replica
     log_event(
         "replica_superseded" if replica.superseded else "replica_reinstated",
         replica=replica.replica_id,
         address=replica.listing.address,
         reason=change.cause.value,
-        standing=replica.standing.value,
-        by=(change.by if change.by != replica.replica_id else "") or None,
+        standing=replica.incarnation_state.value,
+        by=(change.current_id if change.current_id != replica.replica_id else "") or None,
     )
--- a/winchfork/router/store_sync.py
+++ b/winchfork/router/store_sync.py
@@ -326,7 +326,7 @@
                     "WARNING",
                     model=model,
                     version=named.version,
-                    heard_before_s=outage.ended_at_s - named.heard_s,
+                    heard_before_s=outage.ended_at_s - named.received_at_s,
                     begins_in_s=begins_s - self._state.clock(),
                 )
 
--- a/winchfork/router/version_news.py
+++ b/winchfork/router/version_news.py
@@ -46,7 +46,7 @@
         was_held = now_s < replica.loading_until_s
         known = replica.versions.get(note.model, 0)
         replica.loading_until_s = now_s + note.held_ms / 1000.0
-        replica.next_until_s = now_s + note.next_ms / 1000.0
+        replica.load_upcoming_until_s = now_s + note.next_ms / 1000.0
         self._state.note_version(replica, note.model, note.version)
         if note.held_ms > 0 and not was_held:
             self._state.on_held(replica)
@@ -79,9 +79,9 @@
         newcomers = [members[key] for key in members.keys() - self._known_members]
         self._known_members = set(members)
         notes = tuple(
-            NamedNote(model, named.version, int((now_s - named.heard_s) * 1000))
+            NamedNote(model, named.version, int((now_s - named.received_at_s) * 1000))
             for model, history in self._state.versions.items()
-            for named in history.named
+            for named in history.versions
             if not named.assumed
         )
         if notes:
@@ -95,4 +95,4 @@
         now_s = self._state.standstill.earliest_arrival_s(self._state.clock())
         for note in message.notes:
             history = self._state.versions.setdefault(note.model, VersionHistory())
-            history.note_age(note.version, now_s - note.age_ms / 1000.0)
+            history.update_received_at(note.version, now_s - note.age_ms / 1000.0)
--- a/winchfork/router/weights_notes.py
+++ b/winchfork/router/weights_notes.py
@@ -62,7 +62,7 @@
 
     def prepare(self, replica: RelayReplica, model: str, fence: int) -> None:
         """Ask for no long work on a replica that comes next."""
-        if replica.next_until_s - self._clock() < NEXT_S / 2:
+        if replica.load_upcoming_until_s - self._clock() < NEXT_S / 2:
             self._add(replica, model, fence, 0.0, NEXT_S, COLLECT_S)
 
     def flush(self) -> None:
