--- a/winchfork/router/weights_rollout.py
+++ b/winchfork/router/weights_rollout.py
@@ -17,7 +17,7 @@
     ReplicaReport,
     WeightsOrder,
 )
-from winchfork.core.relay_replica import RelayReplica, Standing
+from winchfork.core.relay_replica import RelayReplica, IncarnationState
 from winchfork.core.weight_rollout import LoadingReplica, LoadPace, next_step
 from winchfork.errors import Failure, RunState
 from winchfork.logs import log_event
@@ -112,7 +112,7 @@
         due_s = self._state.choice.weights_due_s(model, replica.versions[model])
         overdue = now_s + BEGIN_MARGIN_S >= due_s
         # One that wants no requests is ordered after its backoff, unless it may run none before.
-        is_left_alone = now_s < replica.avoided_until_s or (
+        is_left_alone = now_s < replica.ejected_until_s or (
             replica.notice.is_backing_off(now_s) and not overdue
         )
         return LoadingReplica(
@@ -152,7 +152,7 @@
                 if unheard >= MOST_UNHEARD:
                     self._state.note_failure(replica, report.reason, certain=True)
                     break
-            elif report.is_of_another_incarnation(replica.listing.born_ms):
+            elif report.is_of_another_incarnation(replica.listing.started_at_ms):
                 break
             else:
                 unheard = 0
@@ -160,7 +160,7 @@
                 if held >= version and not report.busy:
                     self._state.note_version(replica, model, held)
                     if ordered:
-                        self._pace.note_load(self._state.clock() - begun_s)
+                        self._pace.record_load(self._state.clock() - begun_s)
                     break
                 if not ordered and not report.busy:
                     # A newer one may have been named since this turn began.
@@ -181,7 +181,7 @@
         """
         # A later incarnation under the same id has taken no order of this task.
         has_gone = self._state.fleet.get(replica.replica_id) is not replica
-        if has_gone or replica.standing is Standing.ENDED:
+        if has_gone or replica.incarnation_state is IncarnationState.ENDED:
             return False
         waited_s = self._state.clock() - begun_s
         if ordered:
@@ -194,7 +194,7 @@
         self._notes.hold(replica, model, fence)
         await asyncio.sleep(HOLD_NOTICE_S)
         until_s = self._state.clock() + READ_PATIENCE_S
-        while replica.queued_tokens and self._state.clock() < until_s:
+        while replica.queued_prefill_tokens and self._state.clock() < until_s:
             await asyncio.sleep(HOLD_NOTICE_S)
 
     async def _order(
--- a/winchfork/router/work_exchange.py
+++ b/winchfork/router/work_exchange.py
@@ -133,7 +133,7 @@
             ReplicaLoadNote(
                 replica.order_hash,
                 replica.in_flight,
-                replica.unread_tokens,
+                replica.pending_prefill_tokens,
                 replica.memory_tokens,
                 busy_steps(replica.own_busy_until_s, now_s),
             )
@@ -292,7 +292,7 @@
             unread = work.unread_tokens - (told.unread_tokens if told else 0)
             memory = work.memory_tokens - (told.memory_tokens if told else 0)
             replica.peer_in_flight = max(0, in_flight)
-            replica.peer_unread_tokens = max(0, unread)
+            replica.peer_pending_prefill_tokens = max(0, unread)
             replica.peer_memory_tokens = max(0, memory)
             replica.peer_busy_until_s = work.busy_until_s
 
--- a/winchfork/router/zone_watch.py
+++ b/winchfork/router/zone_watch.py
@@ -51,6 +51,6 @@
     def _forgive(self, zone: str, now_s: float) -> None:
         """Use the replicas of a zone that is back at once: they failed because of the cut."""
         for replica in self._state.fleet.replicas():
-            if replica.listing.zone == zone and replica.avoided_until_s > now_s:
-                replica.avoided_until_s = now_s
+            if replica.listing.zone == zone and replica.ejected_until_s > now_s:
+                replica.ejected_until_s = now_s
                 replica.ejections_in_row = 0
