--- a/benchmarks/crashing_requests.py
+++ b/benchmarks/crashing_requests.py
@@ -23,7 +23,7 @@
 from winchfork.core.broken_runs import CrashEvidence
 from winchfork.core.relay_replica import RelayReplica, ReplicaListing
 from winchfork.core.suspect_runs import SuspectRun
-from winchfork.router.crash_guard import CrashGuard
+from winchfork.router.crash_tracker import CrashTracker
 
 DAEMONS = 7
 REPLICAS = 9
@@ -74,7 +74,7 @@
         self._now_s = 0.0
         self._numbers = itertools.count()
         self._due: list[tuple[float, int, Callable[[], None]]] = []
-        self.guards = [CrashGuard(f"n{number}", lambda: self._now_s) for number in range(DAEMONS)]
+        self.guards = [CrashTracker(f"n{number}", lambda: self._now_s) for number in range(DAEMONS)]
         self._places = [self._start(number) for number in range(REPLICAS)]
         self._running: list[Run] = []
         #: Replicas ended by each fatal body, and what became of innocent requests.
@@ -88,16 +88,16 @@
         others = [other for other in self.guards if other is not guard]
         name = f"n{number}"
 
-        def tell(act: Callable[[CrashGuard], None]) -> None:
+        def tell(act: Callable[[CrashTracker], None]) -> None:
             for other in others:
                 self._after(NEWS_S, functools.partial(act, other))
 
         def tell_run(digest: bytes, run: SuspectRun | None) -> None:
-            tell(lambda other: other.take_run(name, digest, run))
+            tell(lambda other: other.handle_suspect_run(name, digest, run))
 
-        guard.on_ended = lambda inc, digests: tell(lambda other: other.take_ended(inc, digests))
-        guard.on_run = tell_run
-        guard.on_cleared = lambda digest, ends: tell(lambda other: other.take_cleared(digest))
+        guard.on_crash = lambda inc, digests: tell(lambda other: other.handle_crash_report(inc, digests))
+        guard.on_suspect_run = tell_run
+        guard.on_cleared = lambda digest, ends: tell(lambda other: other.handle_cleared(digest))
 
     def _start(self, number: int) -> RelayReplica:
         born_ms = int(self._now_s * 1000) + 1
@@ -145,12 +145,12 @@
         else:
             self._run(Run(request, daemon, replica))
 
-    def _choose(self, request: Request, guard: CrashGuard) -> RelayReplica | None:
+    def _choose(self, request: Request, guard: CrashTracker) -> RelayReplica | None:
         left = [replica for replica in self._places if replica.accepting]
         if self._guarded:
             if not guard.may_run(request.digest):
                 return None
-            taken = guard.taken_for(request.digest, left)
+            taken = guard.excluded_replicas(request.digest, left)
             left = [replica for replica in left if replica.replica_id not in taken]
         home = self._places[request.family % REPLICAS]
         if home in left and self._random.random() < HOME_SHARE:
@@ -162,7 +162,7 @@
         run_s = FATAL_S if run.request.fatal else self._random.expovariate(1.0 / RUN_S)
         if self._guarded:
             ends_s = self._now_s + DEADLINE_S
-            self.guards[run.daemon].begin(run.request.digest, run.replica, ends_s)
+            self.guards[run.daemon].begin_run(run.request.digest, run.replica, ends_s)
         end = self._end_replica if run.request.fatal else self._end_well
         self._after(run_s, lambda: end(run))
 
@@ -171,8 +171,8 @@
             return
         self._running.remove(run)
         guard = self.guards[run.daemon]
-        guard.end(run.request.digest)
-        guard.note_outlived(run.request.digest)
+        guard.end_run(run.request.digest)
+        guard.record_success(run.request.digest)
         self._count(run.request, "served")
 
     def _end_replica(self, run: Run) -> None:
@@ -188,7 +188,7 @@
         for daemon in {other.daemon for other in broken}:
             guard = self.guards[daemon]
             self._after(
-                SETTLE_S, functools.partial(guard.note_ended, replica, CrashEvidence.PORT_CLOSED)
+                SETTLE_S, functools.partial(guard.record_crash, replica, CrashEvidence.PORT_CLOSED)
             )
         self._after(AWAY_S, lambda: self._return(number))
 
@@ -198,8 +198,8 @@
     def _break(self, run: Run) -> None:
         self._running.remove(run)
         guard = self.guards[run.daemon]
-        guard.end(run.request.digest)
-        guard.note_broken(run.replica, run.request.digest, silent=False)
+        guard.end_run(run.request.digest)
+        guard.record_broken_run(run.replica, run.request.digest, silent=False)
         if run.request.fatal:
             return
         if run.request.tries < 2:
--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -70,7 +70,7 @@
         notice = AnswerNotice(limit_per_s=self.per_s, has_limit=self.per_s is not None)
         await asyncio.sleep(ANSWER_S)
         if daemon.ip in self.network.groups:
-            daemon.state.notices.note(replica, notice, sent_s)
+            daemon.state.notices.record(replica, notice, sent_s)
 
     async def generate_load(self, seconds: float, requests_per_s: float = 10.0) -> None:
         """Let each daemon have so many requests a second for it, at random times."""
--- a/tests/peer_samples.py
+++ b/tests/peer_samples.py
@@ -22,30 +22,30 @@
 from winchfork.router.document_parts import split_update
 from winchfork.router.peer_messages import (
     PEER_MESSAGE_TYPES,
-    Accusation,
+    FailureReport,
     Activity,
     ClearedRequests,
     DocumentPull,
-    EndedUnder,
+    CrashReport,
     EraDocumentPull,
-    EvidenceNote,
+    EvidenceEntry,
     FleetWork,
     Forward,
-    KeptNote,
-    LimitNote,
-    NamedNote,
-    NamedVersions,
-    NoticeNote,
+    CachedPartsEntry,
+    LimitEntry,
+    VersionAgeEntry,
+    VersionAges,
+    ReplicaNoticeEntry,
     RegionWork,
-    ReplicaLoadNote,
+    ReplicaLoadEntry,
     ReplicaNotices,
     Resignation,
-    SuspectUnderWay,
+    SuspectRunReport,
     VersionEvidence,
     VersionStop,
-    WeightsNote,
+    WeightsEntry,
     WeightsProgress,
-    ZoneUse,
+    ZoneQuotaUse,
     ZoneWork,
 )
 from winchfork.router.refusal_records import RefusalRecord
@@ -54,8 +54,8 @@
 KEY = b"key of the samples"
 _DIGEST = bytes(range(16))
 _MEMBER = Member("n1", "z1", "10.0.0.1:7", "10.0.0.1:8", 5, MemberStatus.SUSPECT, 1000, 4)
-_LOADS = (ReplicaLoadNote(2**63 + 1, 3, 400, 500, 6),)
-_KEPT = (KeptNote(9, (1, 2**64 - 1)),)
+_LOADS = (ReplicaLoadEntry(2**63 + 1, 3, 400, 500, 6),)
+_KEPT = (CachedPartsEntry(9, (1, 2**64 - 1)),)
 _QUOTA = QuotaReport(77, (QuotaTotals(1, 2, 3, 4),))
 _LEVELS = QuotaLevels(80, True, False, (QuotaLevel(1, 2),))
 UPDATE = TableUpdate(
@@ -73,8 +73,8 @@
     ProbeReply(_MEMBER, 1, (2, 3), (_MEMBER,), b"loads"),
     IndirectProbe(_MEMBER, 1, "n3", (_MEMBER,)),
     Activity("n1", _LOADS, _KEPT, _QUOTA, _LEVELS),
-    WeightsProgress("n1", 41, (WeightsNote("i-1", 2**63 + 2, "m", 3, 1500, 1000),)),
-    NamedVersions((NamedNote("m", 3, 2500),)),
+    WeightsProgress("n1", 41, (WeightsEntry("i-1", 2**63 + 2, "m", 3, 1500, 1000),)),
+    VersionAges((VersionAgeEntry("m", 3, 2500),)),
     Resignation(41, 1200, 90_000),
     ZoneWork("n1", "z1", _LOADS, _KEPT, _QUOTA, _LEVELS),
     FleetWork("n1", True, _LOADS, _KEPT, _LEVELS, ("z2",), True),
@@ -83,18 +83,18 @@
     split_update("n1", UPDATE)[0],
     EraDocumentPull(3, DocumentPull("n1", "10.0.0.1:7", 5)),
     split_update("n1", msgspec.structs.replace(UPDATE, at=StorePosition(3, 5)))[0],
-    Accusation("n1", 2**63 + 3),
-    RegionWork("n1", "g", True, _LOADS, (ZoneUse("n1", "z1", _QUOTA, _LEVELS),)),
-    VersionEvidence("n1", 77, "z1", "s", 12, (EvidenceNote(1, 2, 30, 4, 5),)),
+    FailureReport("n1", 2**63 + 3),
+    RegionWork("n1", "g", True, _LOADS, (ZoneQuotaUse("n1", "z1", _QUOTA, _LEVELS),)),
+    VersionEvidence("n1", 77, "z1", "s", 12, (EvidenceEntry(1, 2, 30, 4, 5),)),
     VersionStop("n1", "s", 12, StopCause.BUDGET_EXHAUSTED),
-    EndedUnder(2**63 + 4, (_DIGEST,)),
-    SuspectUnderWay("n1", _DIGEST, 2**63 + 4, 900),
+    CrashReport(2**63 + 4, (_DIGEST,)),
+    SuspectRunReport("n1", _DIGEST, 2**63 + 4, 900),
     ClearedRequests((_DIGEST,)),
     ReplicaNotices(
         "n1",
         (
-            NoticeNote(2**63 + 5, False, 0, LimitNote(0.5, 120)),
-            NoticeNote(6, True, 3000, LimitNote(None, 0)),
+            ReplicaNoticeEntry(2**63 + 5, False, 0, LimitEntry(0.5, 120)),
+            ReplicaNoticeEntry(6, True, 3000, LimitEntry(None, 0)),
         ),
     ),
 )
--- a/tests/peer_support.py
+++ b/tests/peer_support.py
@@ -47,7 +47,7 @@
         self.reading.set()
         self.on_answer: OnStoreAnswer = ignore_answer
 
-    def _tell_era(self) -> None:
+    def _report_era(self) -> None:
         if not self.cut and not self.store.down:
             self.on_answer(StoreAnswer(200, self.store.era))
 
@@ -57,14 +57,14 @@
     async def list(self, prefix: str) -> StoreSnapshot | Failure:
         self.reads += 1
         answer = self._failure() or await self.store.list(prefix)
-        self._tell_era()
+        self._report_era()
         return answer
 
     async def watch(self, prefix: str, after_revision: int, wait_s: float) -> WatchBatch | Failure:
         self.reads += 1
         failure = self._failure()
         batch = failure or await self.store.watch(prefix, after_revision, wait_s)
-        self._tell_era()
+        self._report_era()
         await self.reading.wait()
         return FailureKind.STORE_UNAVAILABLE.because("cut") if self.cut else batch
 
@@ -72,17 +72,17 @@
         self, expected: Sequence[ExpectedRevision], puts: Sequence[PutItem]
     ) -> StorePosition | Failure:
         answer = self._failure() or await self.store.transact(expected, puts)
-        self._tell_era()
+        self._report_era()
         return answer
 
     async def grant_lease(self, ttl_s: float) -> StoreLease | Failure:
         answer = self._failure() or await self.store.grant_lease(ttl_s)
-        self._tell_era()
+        self._report_era()
         return answer
 
     async def renew_lease(self, lease: StoreLease) -> bool | Failure:
         answer = self._failure() or await self.store.renew_lease(lease)
-        self._tell_era()
+        self._report_era()
         return answer
 
     async def end_lease(self, lease: StoreLease) -> Failure | None:
@@ -155,7 +155,7 @@
             self.state, self.store, PlatformDocuments(), self.leadership, random.Random(number)
         )
         self.parts = connect_peers(self.state, self.peers, self.sync, self.leadership)
-        self.news = self.parts.news
+        self.weights = self.parts.weights
         network.groups[self.ip] = self.peers
         for replica in ("i-1", "i-2"):
             listing = ReplicaListing(replica, "s", "a:1", "z1", 8, True, {"m": 1})
@@ -173,7 +173,7 @@
         writer = RefusalWriter(self.state, self.store, random.Random(self.ip))
         return asyncio.create_task(writer.run())
 
-    async def stand_still(self, seconds: float, network: Network) -> None:
+    async def stall(self, seconds: float, network: Network) -> None:
         """Do nothing for a while: answers wait to be read, datagrams are lost."""
         self.tasks.remove(self._gossip)
         self._gossip.cancel()
@@ -201,7 +201,7 @@
         return self.state.freshness.age_s(self.state.clock())
 
 
-def among(count: int, scenario: Callable[[Network, list[Daemon]], Any]) -> None:
+def run_with_daemons(count: int, scenario: Callable[[Network, list[Daemon]], Any]) -> None:
     async def main() -> None:
         network = Network()
         daemons = [Daemon(network, number) for number in range(1, count + 1)]
--- a/tests/test_crash_fleet.py
+++ b/tests/test_crash_fleet.py
@@ -50,8 +50,8 @@
         guard = self.daemons[number % len(self.daemons)].state.crashes
         listing = ReplicaListing("i", "s", "a:1", "z", 8, True, started_at_ms=incarnation)
         replica = RelayReplica(listing, {}, listing.incarnation)
-        guard.note_broken(replica, digest, silent=False)
-        guard.note_ended(replica, CrashEvidence.PORT_CLOSED)
+        guard.record_broken_run(replica, digest, silent=False)
+        guard.record_crash(replica, CrashEvidence.PORT_CLOSED)
 
 
 Scenario = Callable[[MemoryStore, Fleet], Awaitable[None]]
@@ -167,7 +167,7 @@
             store.remove(place_key(DIGEST))
             await asyncio.sleep(1.0)
             self.assertEqual(fleet.refusing(DIGEST), 0)
-            self.assertEqual(fleet.daemons[0].state.crashes.ends(DIGEST), 0)
+            self.assertEqual(fleet.daemons[0].state.crashes.crash_count(DIGEST), 0)
 
         among(3, scenario)
 
@@ -176,9 +176,9 @@
             for number in range(CRASHES_TO_REFUSE - 1):
                 fleet.end(number, number + 1, DIGEST)
             await asyncio.sleep(0.2)
-            fleet.daemons[2].state.crashes.note_outlived(DIGEST)
+            fleet.daemons[2].state.crashes.record_success(DIGEST)
             await asyncio.sleep(3.0)
-            ends = [daemon.state.crashes.ends(DIGEST) for daemon in fleet.daemons]
+            ends = [daemon.state.crashes.crash_count(DIGEST) for daemon in fleet.daemons]
             self.assertEqual(ends, [0, 0, 0])
 
         among(3, scenario)
@@ -194,7 +194,7 @@
             self.assertFalse(fleet.daemons[0].state.crashes.ledger.is_refused(DIGEST, later_s))
             fleet.end_refusals(DIGEST)
             self.assertEqual(fleet.refusing(DIGEST), 0)
-            self.assertEqual(fleet.daemons[0].state.crashes.ends(DIGEST), CRASHES_TO_REFUSE)
+            self.assertEqual(fleet.daemons[0].state.crashes.crash_count(DIGEST), CRASHES_TO_REFUSE)
             fleet.end(0, 9, DIGEST)
             await asyncio.sleep(2.0)
             self.assertEqual(fleet.refusing(DIGEST), 3)
@@ -214,12 +214,12 @@
                 fleet.end(number, number + 1, DIGEST)
             await asyncio.sleep(1.0)
             fleet.end_refusals(DIGEST)
-            fleet.daemons[1].state.crashes.note_outlived(DIGEST)
+            fleet.daemons[1].state.crashes.record_success(DIGEST)
             await asyncio.sleep(1.0)
             successors = Fleet(store, 2, first=10)
             await asyncio.sleep(1.0)
             daemons = [*fleet.daemons, *successors.daemons]
-            self.assertEqual([daemon.state.crashes.ends(DIGEST) for daemon in daemons], [0] * 5)
+            self.assertEqual([daemon.state.crashes.crash_count(DIGEST) for daemon in daemons], [0] * 5)
             successors.kill()
 
         among(3, scenario)
@@ -232,7 +232,7 @@
         """
 
         async def scenario(store: MemoryStore, fleet: Fleet) -> None:
-            fleet.daemons[1].state.crashes.note_outlived(DIGEST)
+            fleet.daemons[1].state.crashes.record_success(DIGEST)
             for number in range(CRASHES_TO_REFUSE):
                 fleet.end(0, number + 1, DIGEST)
                 await asyncio.sleep(0.3)
@@ -247,7 +247,7 @@
         """Three replicas end within some milliseconds: whoever knows better is heard after that."""
 
         async def scenario(store: MemoryStore, fleet: Fleet) -> None:
-            fleet.daemons[1].state.crashes.note_outlived(DIGEST)
+            fleet.daemons[1].state.crashes.record_success(DIGEST)
             for number in range(CRASHES_TO_REFUSE):
                 fleet.end(0, number + 1, DIGEST)
             await asyncio.sleep(2.5)
@@ -261,7 +261,7 @@
 
     def test_one_that_ended_well_long_before_is_refused_as_any_other(self) -> None:
         async def scenario(store: MemoryStore, fleet: Fleet) -> None:
-            fleet.daemons[1].state.crashes.note_outlived(DIGEST)
+            fleet.daemons[1].state.crashes.record_success(DIGEST)
             await asyncio.sleep(5.0)
             for number in range(CRASHES_TO_REFUSE):
                 fleet.end(0, number + 1, DIGEST)
@@ -281,18 +281,18 @@
         async def scenario(store: MemoryStore, fleet: Fleet) -> None:
             def clear() -> None:
                 for daemon in fleet.daemons:
-                    daemon.state.crashes.take_cleared(DIGEST)
+                    daemon.state.crashes.handle_cleared(DIGEST)
 
             for number in range(6):
                 fleet.end(0, number + 1, DIGEST)
                 await asyncio.sleep(0.3)
                 clear()
                 await asyncio.sleep(0.3)
-                worst = max(daemon.state.crashes.ends(DIGEST) for daemon in fleet.daemons)
+                worst = max(daemon.state.crashes.crash_count(DIGEST) for daemon in fleet.daemons)
                 self.assertEqual(worst, 0)
                 fleet.end(0, 100 + number, DIGEST)
                 await asyncio.sleep(0.5)
-                worst = max(daemon.state.crashes.ends(DIGEST) for daemon in fleet.daemons)
+                worst = max(daemon.state.crashes.crash_count(DIGEST) for daemon in fleet.daemons)
                 self.assertEqual(worst, 1)
                 clear()
                 await asyncio.sleep(0.2)
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -21,7 +21,7 @@
 from winchfork.core.request_digest import request_digest
 from winchfork.core.routing import RouteKind
 from winchfork.core.suspect_runs import SuspectRun
-from winchfork.router import crash_guard
+from winchfork.router import crash_tracker as crash_guard
 
 #: The digest of what :meth:`RelayUnderTest.ask` sends by default.
 ASKED = request_digest("school", b"GET", "a.example", b"/p/x?q=1", b"")
@@ -68,7 +68,7 @@
             self.assertEqual(answer.status, 502)
             await asyncio.sleep(0.06)
         self.assertEqual(len(replica.received), 2 * CRASHES_TO_REFUSE)
-        self.assertEqual(relay.state.crashes.ends(ASKED), 0)
+        self.assertEqual(relay.state.crashes.crash_count(ASKED), 0)
 
     async def test_one_try_offers_a_request_that_ends_replicas_to_two_of_them(self) -> None:
         replicas = [EndingReplica() for _ in range(4)]
@@ -97,10 +97,10 @@
         for last in (ScriptedReplica(never_answering), breaking):
             relay = await self.relay(last, timeout_s=0.3)
             crashes = relay.state.crashes
-            crashes.on_break = lambda replica: None
+            crashes.on_connection_broken = lambda replica: None
             for number in range(2):
                 gone = ReplicaListing(f"i-gone-{number}", "s", "127.0.0.9:9", "z1", 8, False)
-                crashes.note_broken(RelayReplica(gone, {}, gone.incarnation), ASKED, silent=False)
+                crashes.record_broken_run(RelayReplica(gone, {}, gone.incarnation), ASKED, silent=False)
             with mock.patch.object(crash_guard, "SETTLE_PATIENCE_S", 2 * EVIDENCE_WINDOW_S):
                 answer = await asyncio.wait_for(relay.ask(), EVIDENCE_WINDOW_S / 2)
             self.assertGreaterEqual(answer.status, 500)
@@ -121,7 +121,7 @@
         sound = ScriptedReplica(answering(lambda request: signed(request, b"ok")))
         relay = await self.relay(EndingReplica(), sound)
         self.assertEqual((await relay.ask()).status, 200)
-        await until(lambda: not relay.state.crashes.ends(ASKED))
+        await until(lambda: not relay.state.crashes.crash_count(ASKED))
         self.assertEqual(relay.state.crashes.ledger.suspected_count, 0)
 
     async def test_an_end_is_found_out_also_after_a_lost_answer(self) -> None:
@@ -131,7 +131,7 @@
         relay = await self.relay(replica, kind=RouteKind.UNSAFE, max_attempts=1)
         await relay.ask("id-1")
         await asyncio.sleep(0.06)
-        self.assertEqual(relay.state.crashes.ends(ASKED), 0)
+        self.assertEqual(relay.state.crashes.crash_count(ASKED), 0)
         await relay.ask("id-2")
         await until(lambda: relay.state.crashes.ledger.crash_count(ASKED, 0.0) == 1)
 
@@ -171,13 +171,13 @@
         replica = ScriptedReplica(answering(lambda request: signed(request, b"ok")))
         relay = await self.relay(replica)
         crashes = relay.state.crashes
-        crashes.take_ended(1, [ASKED])
+        crashes.handle_crash_report(1, [ASKED])
         until_s = relay.state.clock() + 60.0
-        crashes.take_run("n2", ASKED, SuspectRun(7, until_s, is_exclusive=False))
+        crashes.handle_suspect_run("n2", ASKED, SuspectRun(7, until_s, is_exclusive=False))
         asked = asyncio.create_task(relay.ask())
         await asyncio.sleep(0.15)
         self.assertEqual(replica.received, [])
-        crashes.take_run("n2", ASKED, None)
+        crashes.handle_suspect_run("n2", ASKED, None)
         self.assertEqual((await asked).status, 200)
 
     async def test_a_suspect_waits_for_its_run_elsewhere_and_shares_no_replica(self) -> None:
@@ -188,16 +188,16 @@
         crashes = relay.state.crashes
         first, second = relay.state.fleet.of_service("s")
         for digest in (ASKED, b"other suspect   "):
-            crashes.take_ended(1, [digest])
-            crashes.take_ended(2, [digest])
+            crashes.handle_crash_report(1, [digest])
+            crashes.handle_crash_report(2, [digest])
         until_s = relay.state.clock() + 60.0
-        crashes.take_run("n2", ASKED, SuspectRun(second.order_hash, until_s, is_exclusive=True))
-        crashes.take_run(
+        crashes.handle_suspect_run("n2", ASKED, SuspectRun(second.order_hash, until_s, is_exclusive=True))
+        crashes.handle_suspect_run(
             "n2", b"other suspect   ", SuspectRun(first.order_hash, until_s, is_exclusive=True)
         )
         asked = asyncio.create_task(relay.ask())
         await asyncio.sleep(0.15)
         self.assertEqual([len(replica.received) for replica in replicas], [0, 0])
-        crashes.take_run("n2", ASKED, None)
+        crashes.handle_suspect_run("n2", ASKED, None)
         self.assertEqual((await asked).status, 200)
         self.assertEqual([len(replica.received) for replica in replicas], [0, 1])
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -8,10 +8,10 @@
 
 from tests.test_store_sync import Followed, follow
 from winchfork.core.rendezvous import member_hash
-from winchfork.router.peer_messages import WeightsNote, WeightsProgress
-from winchfork.router.peer_port import PeerPort
-from winchfork.router.version_news import VersionNews
-from winchfork.router.weights_notes import WeightsNotes
+from winchfork.router.peer_messages import WeightsEntry, WeightsProgress
+from winchfork.router.peer_messenger import PeerMessenger
+from winchfork.router.weights_exchange import WeightsExchange
+from winchfork.router.weights_announcer import WeightsAnnouncer
 
 
 class RestartUnderTheSameIdTest(unittest.TestCase):
@@ -61,10 +61,10 @@
             await asyncio.sleep(0.2)
             living = followed.state.fleet.get("i-1")
             assert living is not None
-            news = VersionNews(followed.state, cast(PeerPort, None))
+            news = WeightsExchange(followed.state, cast(PeerMessenger, None))
             former = member_hash("i-1@1000")
-            news.take_weights(
-                WeightsProgress("n2", 5, (WeightsNote("i-1", former, "daka510000", 9, 60_000, 0),))
+            news.handle_weights(
+                WeightsProgress("n2", 5, (WeightsEntry("i-1", former, "daka510000", 9, 60_000, 0),))
             )
             self.assertEqual((living.loading_until_s, living.versions), (0.0, {"daka510000": 1}))
 
@@ -74,8 +74,8 @@
         """Peers have dropped the former hold with the former life."""
 
         async def scenario(followed: Followed) -> None:
-            told: list[WeightsNote] = []
-            notes = WeightsNotes(lambda fence, notes: told.extend(notes), followed.state.clock)
+            told: list[WeightsEntry] = []
+            notes = WeightsAnnouncer(lambda fence, notes: told.extend(notes), followed.state.clock)
             for born_ms in (1_000, 2_000):
                 followed.put_replica("i-1", born=born_ms)
                 await asyncio.sleep(0.2)
--- a/tests/test_late_word.py
+++ b/tests/test_late_word.py
@@ -12,9 +12,9 @@
 from tests.virtual_loop import run_virtually, stand_still
 from winchfork.core.document_table import TableItem, TableUpdate
 from winchfork.core.store_position import StorePosition
-from winchfork.router.peer_messages import NamedNote, NamedVersions
-from winchfork.router.peer_port import PeerPort
-from winchfork.router.version_news import VersionNews
+from winchfork.router.peer_messages import VersionAgeEntry, VersionAges
+from winchfork.router.peer_messenger import PeerMessenger
+from winchfork.router.weights_exchange import WeightsExchange
 
 
 class LateWordTest(unittest.TestCase):
@@ -39,8 +39,8 @@
         stand_still(2.7)
         if ticked:
             state.standstill.tick(state.clock())
-        news = VersionNews(state, cast(PeerPort, None))
-        news.take_named(NamedVersions((NamedNote("m", 4, 10),)))
+        news = WeightsExchange(state, cast(PeerMessenger, None))
+        news.handle_version_ages(VersionAges((VersionAgeEntry("m", 4, 10),)))
         return relay
 
     def test_without_a_standstill_it_is_dated_by_its_age(self) -> None:
@@ -50,8 +50,8 @@
             for _ in range(10):
                 state.standstill.tick(state.clock())
                 await asyncio.sleep(0.2)
-            news = VersionNews(state, cast(PeerPort, None))
-            news.take_named(NamedVersions((NamedNote("m", 4, 500),)))
+            news = WeightsExchange(state, cast(PeerMessenger, None))
+            news.handle_version_ages(VersionAges((VersionAgeEntry("m", 4, 500),)))
             return state.clock() - state.versions["m"].versions[0].received_at_s
 
         self.assertAlmostEqual(run_virtually(scenario()), 0.5)
--- a/tests/test_limit_fleet.py
+++ b/tests/test_limit_fleet.py
@@ -11,10 +11,10 @@
 import unittest
 
 from tests.limit_fleet import REPLICA, LimitedReplica, install_limited_replica
-from tests.peer_support import Daemon, Network, among
+from tests.peer_support import Daemon, Network, run_with_daemons
 from tests.virtual_loop import run_virtually
 from winchfork.core.request_limit import MIN_REQUESTS_PER_S, TRIAL_AFTER_SILENCE_S
-from winchfork.router.peer_messages import Forward, LimitNote, NoticeNote, ReplicaNotices
+from winchfork.router.peer_messages import Forward, LimitEntry, ReplicaNoticeEntry, ReplicaNotices
 
 #: All daemons know within this time what one has heard.
 TOLD_WITHIN_S = 0.5
@@ -41,11 +41,11 @@
             self.assertEqual(set(replica.limits()), {None})
             await asyncio.sleep(12.0)
             for daemon in daemons:
-                self.assertEqual(daemon.state.limits._named, {})
-                self.assertEqual(daemon.parts.notices._told_s, {})
+                self.assertEqual(daemon.state.limits._limited, {})
+                self.assertEqual(daemon.parts.notices._announced_at_s, {})
 
         for count in (3, 15, 42):
-            among(count, scenario)
+            run_with_daemons(count, scenario)
 
     def test_the_sum_over_all_daemons_is_kept(self) -> None:
         for count in (7, 15, 42):
@@ -63,7 +63,7 @@
                     self.assertGreaterEqual(used, 0.85 * per_s)
 
                 with self.subTest(count=count, per_s=per_s):
-                    among(count, scenario)
+                    run_with_daemons(count, scenario)
 
     def test_killed_holders_are_followed_by_others(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
@@ -79,7 +79,7 @@
             self.assertGreaterEqual(len(late), 9)
 
         for count in (7, 42):
-            among(count, scenario)
+            run_with_daemons(count, scenario)
 
     def test_a_daemon_that_starts_knows_within_seconds(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
@@ -94,7 +94,7 @@
             await replica.generate_load(10.0)
             self.assertLessEqual(replica.max_in_window(from_s), allowed(1.0))
 
-        among(15, scenario)
+        run_with_daemons(15, scenario)
 
     def test_one_that_has_just_started_holds_nothing_before_it_knows_the_others(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
@@ -107,7 +107,7 @@
             self.assertEqual(replica.replica_at(newcomer).notice.limit.per_s, 3.0)
             self.assertFalse(replica.send_if_allowed(newcomer))
 
-        among(3, scenario)
+        run_with_daemons(3, scenario)
 
     def test_one_that_stood_still_sends_no_more_than_what_it_had_in_hand(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
@@ -115,7 +115,7 @@
             await replica.generate_load(6.0)
             holders = [item for item in daemons if replica.replica_at(item).notice.limit.is_holder]
             replica.daemons = [item for item in daemons if item is not holders[0]]
-            await asyncio.gather(holders[0].stand_still(5.0, network), replica.generate_load(5.0))
+            await asyncio.gather(holders[0].stall(5.0, network), replica.generate_load(5.0))
             replica.daemons = daemons
             from_s = daemons[0].state.clock() - 4.0
             self.assertTrue(replica.send_if_allowed(holders[0]))
@@ -123,7 +123,7 @@
             await replica.generate_load(10.0)
             self.assertLessEqual(replica.max_in_window(from_s), allowed(1.0))
 
-        among(7, scenario)
+        run_with_daemons(7, scenario)
 
     def test_holders_without_callers_hear_of_the_end_in_the_others_turns(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
@@ -135,7 +135,7 @@
             await replica.generate_load(TRIAL_AFTER_SILENCE_S + 5.0)
             self.assertEqual(set(replica.limits()), {None})
 
-        among(7, scenario)
+        run_with_daemons(7, scenario)
 
     def test_messages_are_few(self) -> None:
         """One daemon tells of a limit that goes on, however many send; hubs pass it on."""
@@ -158,7 +158,7 @@
             self.assertLess(sum(sizes) / 20.0 / len(daemons), MOST_BYTES_PER_S)
 
         for daemons in (7, 42):
-            among(daemons, scenario)
+            run_with_daemons(daemons, scenario)
 
 
 class NearestHoldersTest(unittest.TestCase):
@@ -185,7 +185,7 @@
             daemon = daemons[0]
             replicas = [daemon.state.fleet.get(name) for name in ("i-1", "i-2")]
             notes = tuple(
-                NoticeNote(item.order_hash, False, 0, LimitNote(0.0, 0))
+                ReplicaNoticeEntry(item.order_hash, False, 0, LimitEntry(0.0, 0))
                 for item in replicas
                 if item
             )
@@ -197,7 +197,7 @@
             limits = [item.notice.limit.per_s for item in replicas if item]
             self.assertEqual(limits, [0.0, 0.0])
 
-        among(3, scenario)
+        run_with_daemons(3, scenario)
 
     def test_an_older_word_changes_nothing_and_one_of_an_unknown_replica_neither(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
@@ -206,14 +206,14 @@
             await asyncio.sleep(TOLD_WITHIN_S)
             take = network.groups[daemons[0].ip]._handlers[ReplicaNotices]
             key = replica.replica_at(daemons[0]).order_hash
-            old, unknown = LimitNote(None, 5000), LimitNote(1.0, 0)
-            notes = (NoticeNote(key, False, 0, old), NoticeNote(5, False, 0, unknown))
+            old, unknown = LimitEntry(None, 5000), LimitEntry(1.0, 0)
+            notes = (ReplicaNoticeEntry(key, False, 0, old), ReplicaNoticeEntry(5, False, 0, unknown))
             take(ReplicaNotices("n2", notes))
             self.assertEqual(replica.replica_at(daemons[0]).notice.limit.per_s, 2.0)
-            take(ReplicaNotices("n2", (NoticeNote(key, False, 0, LimitNote(None, 0)),)))
+            take(ReplicaNotices("n2", (ReplicaNoticeEntry(key, False, 0, LimitEntry(None, 0)),)))
             self.assertIsNone(replica.replica_at(daemons[0]).notice.limit.per_s)
 
-        among(3, scenario)
+        run_with_daemons(3, scenario)
 
     def test_what_a_former_life_said_binds_no_successor(self) -> None:
         self._restart(started_s_ago=-5.0, limit_per_s=None)
@@ -234,4 +234,4 @@
                 install_limited_replica(daemon, int(born_s * 1000))
             self.assertEqual(set(replica.limits()), {limit_per_s})
 
-        among(3, scenario)
+        run_with_daemons(3, scenario)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -6,19 +6,19 @@
 import random
 import unittest
 
-from tests.peer_support import Daemon, Network, among
+from tests.peer_support import Daemon, Network, run_with_daemons
 from winchfork.core.rendezvous import member_hash
 from winchfork.core.store_position import StorePosition
 from winchfork.core.weight_rollout import VersionHistory
-from winchfork.router.peer_messages import Resignation, WeightsNote
+from winchfork.router.peer_messages import Resignation, WeightsEntry
 
 
 class PeersTest(unittest.TestCase):
     def test_everybody_is_found_through_one_seed(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
-            self.assertEqual([daemon.peers.members() for daemon in daemons], [5] * 5)
+            self.assertEqual([daemon.peers.member_count() for daemon in daemons], [5] * 5)
 
-        among(5, scenario)
+        run_with_daemons(5, scenario)
 
     def test_a_proof_passes_to_a_daemon_that_is_cut_from_the_store(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
@@ -30,7 +30,7 @@
             self.assertLess(second.age_s(), 1.5)
             self.assertGreaterEqual(second.age_s(), 0.0)
 
-        among(2, scenario)
+        run_with_daemons(2, scenario)
 
     def test_a_proof_of_documents_not_known_here_proves_nothing(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
@@ -42,7 +42,7 @@
                 await asyncio.sleep(0.1)
             self.assertGreater(second.age_s(), 1000.0)
 
-        among(2, scenario)
+        run_with_daemons(2, scenario)
 
     def test_a_late_answer_ages_by_the_whole_time_since_the_question(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
@@ -56,7 +56,7 @@
                 adopted_s = second.state.clock() - second.age_s()
                 self.assertLessEqual(adopted_s, proven_s)
 
-        among(2, scenario)
+        run_with_daemons(2, scenario)
 
     def test_work_is_told_and_forgotten(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
@@ -72,7 +72,7 @@
             await asyncio.sleep(3.0)
             self.assertEqual((seen.peer_in_flight, seen.peer_pending_prefill_tokens), (0, 0))
 
-        among(2, scenario)
+        run_with_daemons(2, scenario)
 
     def test_a_replica_that_two_peers_have_ejected_is_left_alone(self) -> None:
         """Each of 79 daemons waited 0.8 s for a silent replica to find out by itself."""
@@ -90,7 +90,7 @@
             await asyncio.sleep(1.5)
             self.assertLess(third.ejected_until_s, daemons[2].state.clock())
 
-        among(4, scenario)
+        run_with_daemons(4, scenario)
 
     def test_one_daemon_that_is_cut_off_convicts_no_replica(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
@@ -101,7 +101,7 @@
             for replica in daemons[1].state.fleet.replicas():
                 self.assertEqual(replica.ejected_until_s, 0.0)
 
-        among(3, scenario)
+        run_with_daemons(3, scenario)
 
     def test_kept_parts_are_told_once(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
@@ -116,23 +116,23 @@
             self.assertEqual(first.state.kept_news.pop(10), [])
             self.assertGreater(sent, 0)
 
-        among(2, scenario)
+        run_with_daemons(2, scenario)
 
     def test_a_leader_with_a_lower_fence_is_not_heard(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             first, second, third = daemons
-            held = WeightsNote("i-1", member_hash("i-1"), "m", 2, 1500, 0)
-            free = WeightsNote("i-1", member_hash("i-1"), "m", 2, 0, 0)
-            first.news.tell_weights(7, (held,))
+            held = WeightsEntry("i-1", member_hash("i-1"), "m", 2, 1500, 0)
+            free = WeightsEntry("i-1", member_hash("i-1"), "m", 2, 0, 0)
+            first.weights.broadcast_weights(7, (held,))
             await asyncio.sleep(0.1)
-            second.news.tell_weights(5, (free,))
+            second.weights.broadcast_weights(5, (free,))
             await asyncio.sleep(0.1)
             replica = third.state.fleet.get("i-1")
             assert replica is not None
             self.assertGreater(replica.loading_until_s, third.state.clock())
             self.assertEqual(replica.versions["m"], 2)
 
-        among(3, scenario)
+        run_with_daemons(3, scenario)
 
     def test_a_newcomer_hears_how_old_versions_are(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
@@ -146,7 +146,7 @@
             due_s = newcomer.state.versions["m"].expires_at_s(1, 8.0) - newcomer.state.clock()
             self.assertLess(due_s, 0.1)
 
-        among(2, scenario)
+        run_with_daemons(2, scenario)
 
     def test_nonsense_is_counted_and_dropped(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
@@ -156,9 +156,9 @@
             page = daemons[0].state.metrics.render().decode()
             self.assertIn("winchfork_bad_datagrams_total 200.0", page)
             heard: list[Resignation] = []
-            daemons[1].peers.handle(Resignation, heard.append)
-            group.tell_everyone(Resignation(3, 10, 20))
+            daemons[1].peers.register_handler(Resignation, heard.append)
+            group.broadcast(Resignation(3, 10, 20))
             await asyncio.sleep(0.1)
             self.assertEqual(heard, [Resignation(3, 10, 20)])
 
-        among(2, scenario)
+        run_with_daemons(2, scenario)
--- a/tests/test_region_fleet.py
+++ b/tests/test_region_fleet.py
@@ -15,7 +15,7 @@
 from winchfork.core.member import Member
 from winchfork.core.region_map import RegionMap
 from winchfork.core.zone_hubs import HUBS_PER_REGION, FleetView
-from winchfork.router.peer_messages import Accusation
+from winchfork.router.peer_messages import FailureReport
 
 REGIONS = RegionMap({"a1": "a", "a2": "a", "a3": "a", "b1": "b", "b2": "b", "b3": "b"})
 DAEMONS = 42
@@ -186,13 +186,13 @@
         async def scenario(fleet: TwoRegions) -> None:
             heard: Counter[str] = Counter()
             for daemon in fleet.daemons:
-                daemon.peers.handle(
-                    Accusation,
+                daemon.peers.register_handler(
+                    FailureReport,
                     lambda message, ip=daemon.ip: heard.update([ip]),  # type: ignore[misc]
                 )
             sender = next(item for item in fleet.daemons if not item.peers.view.is_hub)
             for _ in range(2):
-                sender.peers.tell_everyone(Accusation("n1", 7))
+                sender.peers.broadcast(FailureReport("n1", 7))
                 await asyncio.sleep(1.0)
             others = {daemon.ip for daemon in fleet.daemons} - {sender.ip}
             self.assertEqual(set(heard) - {sender.ip}, others)
--- a/tests/test_replica_notices.py
+++ b/tests/test_replica_notices.py
@@ -200,7 +200,7 @@
         former = relay.state.fleet.get("i-0")
         assert former is not None
         self.restart(relay, ScriptedReplica(), started_s_ago=1.7)
-        relay.state.notices.note(former, AnswerNotice(draining=True))
+        relay.state.notices.record(former, AnswerNotice(draining=True))
         self.assertEqual(relay.state.choice.candidates("s", set()), [])
 
     def restart(
@@ -226,7 +226,7 @@
         for extra, breaks in ((LEAVING, 0), ("X-Own: 1\r\n", 1)):
             relay = await self.relay(torn(extra), kind=RouteKind.STREAMING)
             broken: list[RelayReplica] = []
-            relay.state.crashes.on_break = broken.append
+            relay.state.crashes.on_connection_broken = broken.append
             self.assertFalse((await relay.ask(extra=PROMPT_HEADERS)).whole)
             self.assertEqual(len(broken), breaks, extra)
 
@@ -281,7 +281,7 @@
         assert replica is not None
         await self.ask(relay)
         until_s = replica.notice.backoff_until_s
-        relay.state.notices.note(replica, AnswerNotice(backoff_s=0.5))
+        relay.state.notices.record(replica, AnswerNotice(backoff_s=0.5))
         self.assertEqual(replica.notice.backoff_until_s, until_s)
 
     async def test_who_is_turned_away_by_the_last_is_told_when_the_first_takes_requests(
--- a/tests/test_request_limit.py
+++ b/tests/test_request_limit.py
@@ -73,12 +73,12 @@
         assert replica is not None
         now_s = relay.state.clock()
         limits = relay.state.limits
-        limits.note_named(replica, 2.0, now_s - 3.0)
-        limits.note_answer(replica, now_s + 1.0)
+        limits.record_limit(replica, 2.0, now_s - 3.0)
+        limits.record_unlimited_answer(replica, now_s + 1.0)
         self.assertIsNone(replica.notice.limit.per_s)
-        limits.note_named(replica, 2.0, now_s - 0.5)
+        limits.record_limit(replica, 2.0, now_s - 0.5)
         self.assertIsNone(replica.notice.limit.per_s)
-        limits.note_named(replica, 2.0, relay.state.clock() + 0.1)
+        limits.record_limit(replica, 2.0, relay.state.clock() + 0.1)
         self.assertEqual(replica.notice.limit.per_s, 2.0)
 
     async def test_which_answers_begin_keep_and_end_it(self) -> None:
@@ -121,7 +121,7 @@
         relay = await self.relay(ScriptedReplica(spoken))
         for number in range(3):
             await relay.ask(f"id-{number}")
-        self.assertEqual(relay.state.metrics.unknown_words.labels("server-mood").value, 3)
+        self.assertEqual(relay.state.metrics.unknown_headers.labels("server-mood").value, 3)
 
 
 class HeededLimitTest(RelayTestCase):
@@ -137,7 +137,7 @@
             self.assertEqual((await relay.ask(f"id-{number}")).status, 200)
         self.assertEqual((len(limited.received), len(other.received)), (1, 6))
         self.assertEqual(relay.state.metrics.limit_effects.labels("elsewhere").value, 6)
-        self.assertEqual(relay.state.limits.known(), {"i-0": 2.0})
+        self.assertEqual(relay.state.limits.limits_by_replica(), {"i-0": 2.0})
 
     async def test_an_entry_that_comes_back_takes_no_limit_back(self) -> None:
         limited = ScriptedReplica(
@@ -147,11 +147,11 @@
         relay = await self.relay(limited, other)
         await relay.ask("id-0")
         relay.state.fleet.remove("i-0")
-        self.assertEqual(relay.state.limits.known(), {})
+        self.assertEqual(relay.state.limits.limits_by_replica(), {})
         relay.state.install_listing(
             ReplicaListing("i-0", "s", limited.address, "z1", 8, True, {"m": 1})
         )
-        self.assertEqual(relay.state.limits.known(), {"i-0": 1.0})
+        self.assertEqual(relay.state.limits.limits_by_replica(), {"i-0": 1.0})
         for number in range(3):
             await relay.ask(f"id-{number + 1}")
         self.assertEqual((len(limited.received), len(other.received)), (1, 3))
--- a/tests/test_router_metrics.py
+++ b/tests/test_router_metrics.py
@@ -18,7 +18,7 @@
         figures.first_event_seconds.observe(0.03)
         figures.first_event_seconds.observe(99.0)
         ready = [False]
-        figures.show("ready", "Whether callers are wanted.", lambda: ready[0])
+        figures.add_gauge("ready", "Whether callers are wanted.", lambda: ready[0])
         ready[0] = True
         figures.sent_by_software.labels("models:v2").inc()
         figures.sent_by_region.labels("perth").inc(3)
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -56,7 +56,7 @@
             for _ in range(3):
                 self.eras.take(StoreAnswer(200, 0, ("store-mood",)))
         self.assertEqual(log.call_count, 1)
-        self.assertEqual(self.metrics.unknown_words.labels("store-mood").value, 3)
+        self.assertEqual(self.metrics.unknown_headers.labels("store-mood").value, 3)
 
     def test_refusals_are_counted_by_status_and_lost_history_is_told(self) -> None:
         with mock.patch.object(store_eras, "log_event") as log:
--- a/tests/test_store_sync.py
+++ b/tests/test_store_sync.py
@@ -204,7 +204,7 @@
         async def scenario(followed: Followed) -> None:
             leaving = followed.state.fleet.get("i-1")
             assert leaving is not None
-            followed.state.notices.note(leaving, AnswerNotice(draining=True))
+            followed.state.notices.record(leaving, AnswerNotice(draining=True))
             await followed.lose_in_an_outage("i-1")
             self.assertEqual(followed.known(), ["i-2"])
             followed.put_replica("i-1")
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -126,11 +126,11 @@
             relay = RelayUnderTest()
             listing = ReplicaListing("i-1", "s", "127.0.0.1:1", "z1", 8, True)
             replica = relay.state.fleet.install(listing)
-            relay.state.notices.note(replica, AnswerNotice(backoff_s=3.0))
+            relay.state.notices.record(replica, AnswerNotice(backoff_s=3.0))
             stand_still(seconds)
             woken_s = relay.state.clock()
             self.assertEqual(replica.notice.is_backing_off(woken_s), seconds < 3.0)
-            relay.state.notices.note(replica, AnswerNotice(draining=True))
+            relay.state.notices.record(replica, AnswerNotice(draining=True))
             stand_still(seconds)
             self.assertFalse(replica.accepting)
 
@@ -186,9 +186,9 @@
         async def scenario(seconds: float) -> None:
             relay = RelayUnderTest()
             crashes = relay.state.crashes
-            crashes.take_ended(1, [b"d"])
+            crashes.handle_crash_report(1, [b"d"])
             until_s = relay.state.clock() + 4.0
-            crashes.take_run("n2", b"d", SuspectRun(7, until_s, is_exclusive=True))
+            crashes.handle_suspect_run("n2", b"d", SuspectRun(7, until_s, is_exclusive=True))
             stand_still(seconds)
             self.assertEqual(crashes.may_run(b"d"), seconds >= 4.0)
 
--- a/tests/test_tenant_quota.py
+++ b/tests/test_tenant_quota.py
@@ -273,7 +273,7 @@
     def test_a_request_that_has_not_run_gives_its_cost_back(self) -> None:
         charge = self.gate.admit(self.tenant, 2_000)
         assert isinstance(charge, QuotaCharge)
-        charge.give_back()
+        charge.refund()
         self.assertIsInstance(self.gate.admit(self.tenant, 2_000), QuotaCharge)
 
     def test_a_second_run_counts_again(self) -> None:
--- a/tests/test_told_pauses.py
+++ b/tests/test_told_pauses.py
@@ -11,7 +11,7 @@
 import unittest
 
 from tests.limit_fleet import LimitedReplica
-from tests.peer_support import Daemon, Network, among
+from tests.peer_support import Daemon, Network, run_with_daemons
 from winchfork.core.peer_reports import MAX_REMEMBERED, PeerReports
 from winchfork.core.replica_notice import UNCONFIRMED_DRAINING_S, AnswerNotice
 
@@ -32,7 +32,7 @@
             replica = LimitedReplica(network, daemons)
             first = daemons[0]
             asked = AnswerNotice(backoff_s=PAUSE_S)
-            first.state.notices.note(replica.replica_at(first), asked)
+            first.state.notices.record(replica.replica_at(first), asked)
             await asyncio.sleep(TOLD_WITHIN_S)
             self.assertEqual(self.taking(replica), 0)
             await asyncio.sleep(PAUSE_S * 0.8)
@@ -41,42 +41,42 @@
             self.assertEqual(self.taking(replica), len(daemons))
 
         for count in (3, 15, 42):
-            among(count, scenario)
+            run_with_daemons(count, scenario)
 
     def test_one_that_leaves_is_left_alone_by_all_and_tried_if_it_does_not(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons)
             first = daemons[0]
-            first.state.notices.note(replica.replica_at(first), AnswerNotice(draining=True))
+            first.state.notices.record(replica.replica_at(first), AnswerNotice(draining=True))
             await asyncio.sleep(TOLD_WITHIN_S)
             self.assertEqual(self.taking(replica), 0)
             await asyncio.sleep(UNCONFIRMED_DRAINING_S + 10.0)
             self.assertEqual(self.taking(replica), len(daemons) - 1)
 
-        among(15, scenario)
+        run_with_daemons(15, scenario)
 
     def test_a_short_pause_is_between_the_replica_and_who_was_refused(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons)
             first = daemons[0]
-            first.state.notices.note(replica.replica_at(first), AnswerNotice(backoff_s=1.0))
+            first.state.notices.record(replica.replica_at(first), AnswerNotice(backoff_s=1.0))
             await asyncio.sleep(TOLD_WITHIN_S)
             self.assertEqual(self.taking(replica), len(daemons) - 1)
 
-        among(7, scenario)
+        run_with_daemons(7, scenario)
 
     def test_what_was_told_is_not_told_on(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons)
             first = daemons[0]
-            first.state.notices.note(replica.replica_at(first), AnswerNotice(backoff_s=2.0))
+            first.state.notices.record(replica.replica_at(first), AnswerNotice(backoff_s=2.0))
             await asyncio.sleep(1.0)
             first.kill(network)
             replica.daemons = daemons[1:]
             await asyncio.sleep(1.5)
             self.assertEqual(self.taking(replica), len(daemons) - 1)
 
-        among(7, scenario)
+        run_with_daemons(7, scenario)
 
 
 class HearsayTest(unittest.TestCase):
--- a/tests/test_weights_bounds.py
+++ b/tests/test_weights_bounds.py
@@ -232,7 +232,7 @@
             *turned_away, frozen = fleet.daemons
             for daemon in turned_away:
                 daemon.store.cut = True
-            standing = asyncio.create_task(frozen.stand_still(3.2, fleet.network))
+            standing = asyncio.create_task(frozen.stall(3.2, fleet.network))
             await asyncio.sleep(0.8)
             fleet.name(3)
             await standing
@@ -451,7 +451,7 @@
             fleet = FollowingFleet()
             await asyncio.sleep(4.0)
             frozen = fleet.daemons[0]
-            standing = asyncio.create_task(frozen.stand_still(3.0, fleet.network))
+            standing = asyncio.create_task(frozen.stall(3.0, fleet.network))
             await asyncio.sleep(0.2)
             if other_news:
                 fleet.store.put("op/other", b"x")
--- a/tests/test_weights_rollout.py
+++ b/tests/test_weights_rollout.py
@@ -93,7 +93,7 @@
                 fleet = await Fleet.led(replicas)
                 resting = fleet.state.fleet.get("i-1")
                 assert resting is not None
-                fleet.state.notices.note(resting, AnswerNotice(backoff_s=rest_s))
+                fleet.state.notices.record(resting, AnswerNotice(backoff_s=rest_s))
                 asked_s = fleet.state.clock()
                 fleet.name(2)
                 while replicas[1].next_version == 1:
@@ -110,7 +110,7 @@
             fleet = await Fleet.led(replicas)
             leaving = fleet.state.fleet.get("i-1")
             assert leaving is not None
-            fleet.state.notices.note(leaving, AnswerNotice(draining=True))
+            fleet.state.notices.record(leaving, AnswerNotice(draining=True))
             fleet.name(2)
             await asyncio.sleep(10.0)
             self.assertEqual([replica.version for replica in replicas], [2, 1, 2])
--- a/tests/test_zone_hubs.py
+++ b/tests/test_zone_hubs.py
@@ -19,8 +19,8 @@
 from winchfork.core.zone_hubs import WATCHERS_PER_FLEET, FleetView
 from winchfork.errors import Failure
 from winchfork.router.document_parts import PART_BYTES, PartCollector, split_update
-from winchfork.router.peer_messages import DocumentPart, WeightsNote
-from winchfork.router.work_exchange import ADD_UP_PERIOD_S, WorkExchange
+from winchfork.router.peer_messages import DocumentPart, WeightsEntry
+from winchfork.router.work_exchange import AGGREGATION_INTERVAL_S, WorkExchange
 
 
 def watcher_ip(daemon: Daemon) -> str:
@@ -86,14 +86,14 @@
             seen = idle.state.fleet.get("i-1")
             assert replica is not None and seen is not None
             with patch.object(
-                WorkExchange, "_add_up", autospec=True, side_effect=WorkExchange._add_up
+                WorkExchange, "_add_up", autospec=True, side_effect=WorkExchange._aggregate
             ) as add_up:
                 for number in range(40):
                     replica.record_sent(number, 100, busy.state.clock() + 9.0)
                     busy.state.on_work_sent()
                     await asyncio.sleep(0.05)
             sums = [call for call in add_up.call_args_list if call.args[0]._state is idle.state]
-            self.assertLessEqual(len(sums), 2.0 / ADD_UP_PERIOD_S + 1)
+            self.assertLessEqual(len(sums), 2.0 / AGGREGATION_INTERVAL_S + 1)
             await asyncio.sleep(0.1)
             idle.state.choice.candidates("s", set())
             self.assertEqual(seen.peer_in_flight, 40)
@@ -329,8 +329,8 @@
         async def scenario(fleet: LargeFleet) -> None:
             leader = fleet.followers()[0]
             sent = leader.peers.sent_messages
-            leader.news.tell_weights(
-                1 << 40, (WeightsNote("i-1", member_hash("i-1"), "m", 7, 1500, 0),)
+            leader.weights.broadcast_weights(
+                1 << 40, (WeightsEntry("i-1", member_hash("i-1"), "m", 7, 1500, 0),)
             )
             self.assertLessEqual(leader.peers.sent_messages - sent, 2 * len(ZONES))
             await asyncio.sleep(0.05)
--- a/tests/test_zone_loss.py
+++ b/tests/test_zone_loss.py
@@ -188,14 +188,14 @@
     ) -> None:
         """It waited for the connection's own end, some seconds."""
         relay, reader = await self.ask(resumable=True)
-        relay.state.zones.take_reach(("z2",), is_isolated=False)
+        relay.state.zones.update_reachability(("z2",), is_isolated=False)
         answer = await asyncio.wait_for(read_answer(reader), HANG_TIMEOUT_S)
         self.assertEqual(answer.status, 200)
         self.assertEqual(len(self.other.received), 1)
 
     async def test_one_that_may_run_once_only_is_left_where_it_is(self) -> None:
         relay, _ = await self.ask(resumable=False)
-        relay.state.zones.take_reach(("z2",), is_isolated=False)
+        relay.state.zones.update_reachability(("z2",), is_isolated=False)
         await asyncio.sleep(0.1)
         self.assertEqual(self.other.received, [])
         self.assertFalse(self.silent.closed_by_router.is_set())
@@ -220,7 +220,7 @@
         relay.state.stopping = True
         replica = relay.state.fleet.get("i-far")
         assert replica is not None
-        relay.state.zones.take_reach(("z2",), is_isolated=False)
+        relay.state.zones.update_reachability(("z2",), is_isolated=False)
         relay.state.on_silent(replica)
         relay.state.on_held(replica)
         await asyncio.sleep(0.1)
--- a/tests/weights_fleet.py
+++ b/tests/weights_fleet.py
@@ -20,11 +20,11 @@
 from winchfork.core.weight_rollout import VersionHistory
 from winchfork.errors import Failure, FailureKind
 from winchfork.router.leadership import Leadership
-from winchfork.router.peer_messages import WeightsNote
+from winchfork.router.peer_messages import WeightsEntry
 from winchfork.router.peers import PeerGroup
 from winchfork.router.settings import RouterSettings
 from winchfork.router.state import RouterState
-from winchfork.router.version_news import VersionNews
+from winchfork.router.weights_exchange import WeightsExchange
 from winchfork.router.weights_rollout import WeightsRollout
 
 LOAD_S = 0.6
@@ -111,16 +111,16 @@
         return outcome
 
 
-class CountingNews(VersionNews):
+class CountingNews(WeightsExchange):
     """Keeps what has been told."""
 
     def __init__(self, state: RouterState, peers: PeerGroup) -> None:
         super().__init__(state, peers)
-        self.told: list[tuple[WeightsNote, ...]] = []
+        self.told: list[tuple[WeightsEntry, ...]] = []
 
-    def tell_weights(self, fence: int, notes: tuple[WeightsNote, ...]) -> None:
+    def tell_weights(self, fence: int, notes: tuple[WeightsEntry, ...]) -> None:
         self.told.append(notes)
-        super().tell_weights(fence, notes)
+        super().broadcast_weights(fence, notes)
 
 
 class Fleet:
--- a/winchfork/router/attempt_planner.py
+++ b/winchfork/router/attempt_planner.py
@@ -183,7 +183,7 @@
         sent_s = self._state.clock()
 
         def note(notice: AnswerNotice, is_answer: bool) -> None:
-            self._state.notices.note(replica, notice, sent_s if is_answer else None)
+            self._state.notices.record(replica, notice, sent_s if is_answer else None)
 
         return note
 
--- a/winchfork/router/crash_exchange.py
+++ b/winchfork/router/crash_exchange.py
@@ -10,17 +10,17 @@
 from collections.abc import Callable
 
 from winchfork.core.suspect_runs import SuspectRun
-from winchfork.router.crash_guard import ENDS_TO_RUN_ALONE
-from winchfork.router.peer_messages import ClearedRequests, EndedUnder, SuspectUnderWay
-from winchfork.router.peer_port import PeerPort
+from winchfork.router.crash_tracker import CRASHES_TO_RUN_ALONE
+from winchfork.router.peer_messages import ClearedRequests, CrashReport, SuspectRunReport
+from winchfork.router.peer_messenger import PeerMessenger
 from winchfork.router.state import RouterState
 
 #: Seconds after which ends are told once more; further apart than hubs remember a datagram.
-REPEATS_S = (0.7, 1.6)
+RESEND_DELAYS_S = (0.7, 1.6)
 #: Clearances that arise within this time share a message.
-COLLECT_S = 0.1
+BATCH_WINDOW_S = 0.1
 #: Digests of 16 bytes that fit into a datagram with room to spare.
-MOST_DIGESTS = 48
+MAX_DIGESTS_PER_MESSAGE = 48
 
 
 class CrashExchange:
@@ -29,68 +29,68 @@
     def __init__(
         self,
         state: RouterState,
-        peers: PeerPort,
+        peers: PeerMessenger,
         call_later: Callable[[float, Callable[[], None]], object],
     ) -> None:
         self._state = state
-        self._guard = state.crashes
+        self._tracker = state.crashes
         self._peers = peers
         self._call_later = call_later
-        self._cleared: list[bytes] = []
-        self._guard.on_ended = self._tell_ended
-        self._guard.on_run = self._tell_run
-        self._guard.on_cleared = self._collect_cleared
+        self._pending_cleared: list[bytes] = []
+        self._tracker.on_crash = self._broadcast_crash
+        self._tracker.on_suspect_run = self._broadcast_run
+        self._tracker.on_cleared = self._queue_cleared
 
-    def take_ended(self, message: EndedUnder) -> None:
+    def handle_crash_report(self, message: CrashReport) -> None:
         """Take in under which requests of a peer a replica ended."""
-        self._guard.take_ended(message.incarnation, message.digests)
+        self._tracker.handle_crash_report(message.incarnation, message.digests)
 
-    def take_run(self, message: SuspectUnderWay) -> None:
+    def handle_suspect_run(self, message: SuspectRunReport) -> None:
         """Take in that a peer runs a suspect, or does no longer."""
         run = None
-        if message.left_ms:
-            until_s = self._state.clock() + message.left_ms / 1000.0
+        if message.remaining_ms:
+            until_s = self._state.clock() + message.remaining_ms / 1000.0
             run = SuspectRun(message.incarnation, until_s, is_exclusive=True)
-        self._guard.take_run(message.sender_id, message.digest, run)
+        self._tracker.handle_suspect_run(message.sender_id, message.digest, run)
 
-    def take_cleared(self, message: ClearedRequests) -> None:
+    def handle_cleared(self, message: ClearedRequests) -> None:
         """Take in which suspects have ended well at a peer."""
         for digest in message.digests:
-            self._guard.take_cleared(digest)
+            self._tracker.handle_cleared(digest)
 
-    def _tell_ended(self, incarnation: int, digests: tuple[bytes, ...]) -> None:
-        for first in range(0, len(digests), MOST_DIGESTS):
-            part = digests[first : first + MOST_DIGESTS]
-            self._peers.tell_everyone(EndedUnder(incarnation, part))
-            for after_s in REPEATS_S:
-                self._call_later(after_s, functools.partial(self._tell_again, incarnation, part))
+    def _broadcast_crash(self, incarnation: int, digests: tuple[bytes, ...]) -> None:
+        for first in range(0, len(digests), MAX_DIGESTS_PER_MESSAGE):
+            part = digests[first : first + MAX_DIGESTS_PER_MESSAGE]
+            self._peers.broadcast(CrashReport(incarnation, part))
+            for after_s in RESEND_DELAYS_S:
+                self._call_later(after_s, functools.partial(self._resend_crash, incarnation, part))
 
-    def _tell_again(self, incarnation: int, digests: tuple[bytes, ...]) -> None:
+    def _resend_crash(self, incarnation: int, digests: tuple[bytes, ...]) -> None:
         """Repeat what still holds: an end that is told after its clearance would undo that."""
         now_s = self._state.clock()
-        ledger = self._guard.ledger
+        ledger = self._tracker.ledger
         left = tuple(item for item in digests if ledger.has_crash(item, incarnation, now_s))
         if left:
-            self._peers.tell_everyone(EndedUnder(incarnation, left))
+            self._peers.broadcast(CrashReport(incarnation, left))
 
-    def _tell_run(self, digest: bytes, run: SuspectRun | None) -> None:
+    def _broadcast_run(self, digest: bytes, run: SuspectRun | None) -> None:
         left_s = run.until_s - self._state.clock() if run is not None else 0.0
         incarnation = run.incarnation if run is not None else 0
-        message = SuspectUnderWay(
+        message = SuspectRunReport(
             self._state.settings.node_id, digest, incarnation, max(0, int(left_s * 1000))
         )
-        self._peers.tell_everyone(message)
+        self._peers.broadcast(message)
 
-    def _collect_cleared(self, digest: bytes, ends: int) -> None:
-        self._cleared.append(digest)
-        if ends >= ENDS_TO_RUN_ALONE:
+    def _queue_cleared(self, digest: bytes, crashes: int) -> None:
+        self._pending_cleared.append(digest)
+        if crashes >= CRASHES_TO_RUN_ALONE:
             # One more end elsewhere, and it would be refused.
-            self._tell_cleared()
-        elif len(self._cleared) == 1:
-            self._call_later(COLLECT_S, self._tell_cleared)
-
-    def _tell_cleared(self) -> None:
-        digests, self._cleared = self._cleared, []
-        for first in range(0, len(digests), MOST_DIGESTS):
-            part = tuple(digests[first : first + MOST_DIGESTS])
-            self._peers.tell_everyone(ClearedRequests(part))
+            self._flush_cleared()
+        elif len(self._pending_cleared) == 1:
+            self._call_later(BATCH_WINDOW_S, self._flush_cleared)
+
+    def _flush_cleared(self) -> None:
+        digests, self._pending_cleared = self._pending_cleared, []
+        for first in range(0, len(digests), MAX_DIGESTS_PER_MESSAGE):
+            part = tuple(digests[first : first + MAX_DIGESTS_PER_MESSAGE])
+            self._peers.broadcast(ClearedRequests(part))
--- a/winchfork/router/document_installer.py
+++ b/winchfork/router/document_installer.py
@@ -99,9 +99,9 @@
     def _install_refusal(self, item: TableItem) -> None:
         crashes = self._state.crashes
         if item.value is None and item.missing_after_outage:
-            crashes.note_lost_record(item.key)
+            crashes.handle_lost_record(item.key)
             return
-        unread = crashes.take_record(
+        unread = crashes.apply_record(
             item.key, item.value, item.revision, is_restored=self.restoring
         )
         if unread is not None:
@@ -195,7 +195,7 @@
         removed = self._state.fleet.remove(replica_id)
         if removed is not None:
             if evidence is not None:
-                self._state.crashes.note_ended(removed, evidence)
+                self._state.crashes.record_crash(removed, evidence)
             self._state.parts.drop_replica(removed.order_hash)
             log_event("replica_gone", replica=replica_id, revision=revision)
 
--- a/winchfork/router/document_relay.py
+++ b/winchfork/router/document_relay.py
@@ -26,7 +26,7 @@
     EraDocumentPart,
     EraDocumentPull,
 )
-from winchfork.router.peer_port import PeerPort
+from winchfork.router.peer_messenger import PeerMessenger
 from winchfork.router.state import RouterState
 
 #: A peer's answer that names a higher revision may have overtaken its own update: wait for that.
@@ -56,7 +56,7 @@
     def __init__(
         self,
         state: RouterState,
-        peers: PeerPort,
+        peers: PeerMessenger,
         documents: RelayedDocuments,
         call_later: Callable[[float, Callable[[], None]], object],
     ) -> None:
--- a/winchfork/router/evidence_exchange.py
+++ b/winchfork/router/evidence_exchange.py
@@ -23,37 +23,37 @@
     VersionTest,
 )
 from winchfork.logs import log_event
-from winchfork.router.peer_messages import EvidenceNote, VersionEvidence, VersionStop
-from winchfork.router.peer_port import PeerPort
+from winchfork.router.peer_messages import EvidenceEntry, VersionEvidence, VersionStop
+from winchfork.router.peer_messenger import PeerMessenger
 from winchfork.router.service_answers import OLD_VERSION
 from winchfork.router.state import RouterState
 
 #: Seconds between two messages about one rollout, and between two that tell nothing new.
-TELL_PERIOD_S = 0.04
-RETELL_PERIOD_S = 1.0
+SEND_INTERVAL_S = 0.04
+RESEND_INTERVAL_S = 1.0
 #: A bad answer is told within this time.
-TELL_SOON_S = 0.05
+EARLY_SEND_DELAY_S = 0.05
 #: Seconds between two looks of a judge: often, since a bad version may be in full use.
-LEAST_JUDGED_S = 0.05
+MIN_EVALUATION_INTERVAL_S = 0.05
 #: A share from which on the old version gets too few answers to compare times with.
-MOST_COMPARED_SHARE = 0.6
+MAX_TIME_COMPARISON_SHARE = 0.6
 
-_Notes = tuple[EvidenceNote, ...]
+_Entries = tuple[EvidenceEntry, ...]
 
 
-class _Heard(msgspec.Struct):
+class _ReceivedEvidence(msgspec.Struct):
     """What was heard of one order: by start of a daemon, and by zone."""
 
     order_revision: int
-    daemons: dict[tuple[str, int], _Notes] = {}
-    zones: dict[str, _Notes] = {}
+    daemons: dict[tuple[str, int], _Entries] = {}
+    zones: dict[str, _Entries] = {}
     test: VersionTest = msgspec.field(default_factory=VersionTest)
-    told: _Notes = ()
-    told_s: float = 0.0
-    zone_told: _Notes = ()
-    zone_told_s: float = 0.0
-    stop_told_s: float = 0.0
-    judged_s: float = 0.0
+    sent: _Entries = ()
+    sent_at_s: float = 0.0
+    zone_sent: _Entries = ()
+    zone_sent_at_s: float = 0.0
+    stop_sent_at_s: float = 0.0
+    evaluated_at_s: float = 0.0
 
 
 class EvidenceExchange:
@@ -62,28 +62,28 @@
     def __init__(
         self,
         state: RouterState,
-        peers: PeerPort,
+        peers: PeerMessenger,
         call_later: Callable[[float, Callable[[], None]], object],
     ) -> None:
         self._call_later = call_later
-        self._told_soon = False
-        state.software.on_bad_answer = self.tell_soon
+        self._send_scheduled = False
+        state.software.on_bad_answer = self.send_soon
         self._state = state
         self._versions = state.software
         self._peers = peers
-        self._heard: dict[str, _Heard] = {}
+        self._received: dict[str, _ReceivedEvidence] = {}
 
-    def tell_soon(self) -> None:
+    def send_soon(self) -> None:
         """A replica has answered badly: tell it before the next tick, others with it.
 
         In full use each tenth of a second costs a tenth of a second's requests.
         """
-        if not self._told_soon:
-            self._told_soon = True
-            self._call_later(TELL_SOON_S, self._tell_now)
+        if not self._send_scheduled:
+            self._send_scheduled = True
+            self._call_later(EARLY_SEND_DELAY_S, self._send_now)
 
-    def _tell_now(self) -> None:
-        self._told_soon = False
+    def _send_now(self) -> None:
+        self._send_scheduled = False
         self.tick(self._state.clock())
 
     def tick(self, now_s: float) -> None:
@@ -91,21 +91,21 @@
         for service in self._versions.services():
             record = self._versions.state(service)
             if not record.running:
-                self._heard.pop(service, None)
+                self._received.pop(service, None)
                 continue
-            heard = self._about(service, record.order_revision)
-            self._tell_own(service, heard, now_s)
-            if self._judges:
-                self._tell_zone(service, heard, now_s)
-            if self._judges or self._state.leader_id == self._state.settings.node_id:
-                self._judge(record, heard, now_s)
+            heard = self._received_for(service, record.order_revision)
+            self._send_own(service, heard, now_s)
+            if self._evaluates:
+                self._send_zone(service, heard, now_s)
+            if self._evaluates or self._state.leader_id == self._state.settings.node_id:
+                self._evaluate(record, heard, now_s)
 
     def evidence(self, service: str) -> Evidence:
         """Return what is known here of a service's running rollout."""
-        heard = self._heard.get(service)
+        heard = self._received.get(service)
         if heard is None:
             return Evidence({}, {})
-        notes = [note for zone in self._all_zones(heard) for note in zone]
+        notes = [note for zone in self._entries_by_zone(heard) for note in zone]
         old: dict[int, AnswerCounts] = {}
         new: dict[int, dict[int, AnswerCounts]] = {}
         for note in notes:
@@ -113,39 +113,39 @@
             routes.setdefault(note.route, AnswerCounts()).add(_counts(note))
         return Evidence(old, new)
 
-    def opinion(self, service: str) -> Assessment:
+    def assessment(self, service: str) -> Assessment:
         """Return what the evidence says of the target, on a daemon that judges or leads."""
-        heard = self._heard.get(service)
+        heard = self._received.get(service)
         return heard.test.assessment if heard is not None else Assessment.INCONCLUSIVE
 
     # Hearing
 
-    def take(self, message: VersionEvidence) -> None:
+    def handle_evidence(self, message: VersionEvidence) -> None:
         """Take in what a daemon or a zone has seen of the order that is known here."""
         record = self._versions.state(message.service)
         number = self._versions.number_of(message.service, message.order_revision)
         if not record.running or record.order_revision != number:
             return
-        heard = self._about(message.service, number)
+        heard = self._received_for(message.service, number)
         if not message.zone:
-            heard.daemons[message.sender_id, message.life] = message.notes
+            heard.daemons[message.sender_id, message.start_id] = message.entries
         else:
-            self._take_zone(message, heard)
+            self._handle_zone(message, heard)
         now_s = self._state.clock()
-        if self._judges and now_s - heard.judged_s >= LEAST_JUDGED_S:
-            self._judge(record, heard, now_s)
+        if self._evaluates and now_s - heard.evaluated_at_s >= MIN_EVALUATION_INTERVAL_S:
+            self._evaluate(record, heard, now_s)
 
-    def _take_zone(self, message: VersionEvidence, heard: _Heard) -> None:
+    def _handle_zone(self, message: VersionEvidence, heard: _ReceivedEvidence) -> None:
         known = heard.zones.get(message.zone, ())
-        if _answers(message.notes) >= _answers(known):
-            heard.zones[message.zone] = message.notes
+        if _total_answers(message.entries) >= _total_answers(known):
+            heard.zones[message.zone] = message.entries
         view = self._peers.view
         if view.is_region_hub and view.is_in_other_region(message.sender_id):
             own_id = view.own.member_id
             relayed = msgspec.structs.replace(message, sender_id=own_id)
             self._peers.send_each((*view.same_region_hubs, *view.own_hub_peers), relayed)
 
-    def take_stop(self, message: VersionStop) -> None:
+    def handle_stop(self, message: VersionStop) -> None:
         """Send a version nothing more that another daemon has found bad."""
         self._versions.stop(
             message.service, message.order_revision, message.cause, told_by=message.sender_id
@@ -154,33 +154,33 @@
     # Telling
 
     @property
-    def _judges(self) -> bool:
+    def _evaluates(self) -> bool:
         return self._peers.view.is_full_mesh or self._peers.view.is_hub
 
-    def _about(self, service: str, order_revision: int) -> _Heard:
-        heard = self._heard.get(service)
+    def _received_for(self, service: str, order_revision: int) -> _ReceivedEvidence:
+        heard = self._received.get(service)
         if heard is not None:
             heard.order_revision = self._versions.number_of(service, heard.order_revision)
         if heard is None or heard.order_revision != order_revision:
-            heard = self._heard[service] = _Heard(order_revision)
+            heard = self._received[service] = _ReceivedEvidence(order_revision)
         return heard
 
-    def _own_notes(self, service: str) -> _Notes:
+    def _own_entries(self, service: str) -> _Entries:
         answers = self._versions.answers.get(service)
         if answers is None:
             return ()
         return tuple(
-            EvidenceNote(route, replica, counts.answers, counts.failed, counts.slow)
+            EvidenceEntry(route, replica, counts.answers, counts.failed, counts.slow)
             for (replica, route), counts in answers.counts.items()
         )
 
-    def _tell_own(self, service: str, heard: _Heard, now_s: float) -> None:
-        notes = self._own_notes(service)
+    def _send_own(self, service: str, heard: _ReceivedEvidence, now_s: float) -> None:
+        notes = self._own_entries(service)
         own_id = self._state.settings.node_id
         heard.daemons[own_id, self._state.life] = notes
-        if not notes or not _is_due(notes, heard.told, now_s - heard.told_s):
+        if not notes or not _is_due(notes, heard.sent, now_s - heard.sent_at_s):
             return
-        heard.told, heard.told_s = notes, now_s
+        heard.sent, heard.sent_at_s = notes, now_s
         view = self._peers.view
         receivers = view.others if view.is_full_mesh else view.own_hub_peers
         message = VersionEvidence(
@@ -188,22 +188,22 @@
         )
         self._peers.send_each(receivers, message)
 
-    def _tell_zone(self, service: str, heard: _Heard, now_s: float) -> None:
+    def _send_zone(self, service: str, heard: _ReceivedEvidence, now_s: float) -> None:
         view = self._peers.view
         if view.is_full_mesh:
             return
-        notes = _add_up(heard.daemons.values())
-        if not notes or not _is_due(notes, heard.zone_told, now_s - heard.zone_told_s):
+        notes = _sum_entries(heard.daemons.values())
+        if not notes or not _is_due(notes, heard.zone_sent, now_s - heard.zone_sent_at_s):
             return
-        heard.zone_told, heard.zone_told_s = notes, now_s
+        heard.zone_sent, heard.zone_sent_at_s = notes, now_s
         settings = self._state.settings
         message = VersionEvidence(
             settings.node_id, 0, settings.zone, service, heard.order_revision, notes
         )
         receivers = (*view.same_region_hubs, *view.other_region_hubs)
-        self._peers.send_each((*receivers, *self._leader_beside(receivers)), message)
+        self._peers.send_each((*receivers, *self._leader_not_among(receivers)), message)
 
-    def _leader_beside(self, receivers: Iterable[Member]) -> list[Member]:
+    def _leader_not_among(self, receivers: Iterable[Member]) -> list[Member]:
         """Return the leader where it is none of the receivers: it decides by the sums as well."""
         leader_id = self._state.leader_id
         told = {member.member_id for member in receivers} | {self._state.settings.node_id}
@@ -213,24 +213,24 @@
             if member.member_id == leader_id and leader_id not in told
         ]
 
-    def _all_zones(self, heard: _Heard) -> list[_Notes]:
-        if not self._judges:
+    def _entries_by_zone(self, heard: _ReceivedEvidence) -> list[_Entries]:
+        if not self._evaluates:
             return list(heard.zones.values())
         own_zone = self._state.settings.zone
         others = [notes for zone, notes in heard.zones.items() if zone != own_zone]
-        return [_add_up(heard.daemons.values()), *others]
+        return [_sum_entries(heard.daemons.values()), *others]
 
     # Judging
 
-    def _judge(self, record: SoftwareState, heard: _Heard, now_s: float) -> None:
+    def _evaluate(self, record: SoftwareState, heard: _ReceivedEvidence, now_s: float) -> None:
         cause = self._versions.stop_cause(record)
         if cause is not None:
-            if now_s - heard.stop_told_s >= RETELL_PERIOD_S:
-                self._tell_stop(record, heard, cause, now_s)
+            if now_s - heard.stop_sent_at_s >= RESEND_INTERVAL_S:
+                self._broadcast_stop(record, heard, cause, now_s)
             return
-        compares_times = record.share <= MOST_COMPARED_SHARE
+        compares_times = record.share <= MAX_TIME_COMPARISON_SHARE
         evidence = self.evidence(record.service)
-        heard.judged_s = now_s
+        heard.evaluated_at_s = now_s
         alarm = heard.test.evaluate(evidence, compare_latency=compares_times)
         if record.returning or record.phase is SoftwarePhase.STABLE:
             return
@@ -248,10 +248,10 @@
         limits = self._state.settings.bounds.exposure
         return has_exhausted_budget(record, opinion, evidence.new_answers, evidence.all_answers, limits)
 
-    def _stop(self, record: SoftwareState, heard: _Heard, cause: StopCause, now_s: float) -> None:
+    def _stop(self, record: SoftwareState, heard: _ReceivedEvidence, cause: StopCause, now_s: float) -> None:
         own_id = self._state.settings.node_id
         self._versions.stop(record.service, record.order_revision, cause, told_by=own_id)
-        self._tell_stop(record, heard, cause, now_s)
+        self._broadcast_stop(record, heard, cause, now_s)
 
     def _log_alarm(self, record: SoftwareState, alarm: Alarm, evidence: Evidence) -> None:
         log_event(
@@ -269,32 +269,32 @@
             new_answers=evidence.new_answers,
         )
 
-    def _tell_stop(
-        self, record: SoftwareState, heard: _Heard, cause: StopCause, now_s: float
+    def _broadcast_stop(
+        self, record: SoftwareState, heard: _ReceivedEvidence, cause: StopCause, now_s: float
     ) -> None:
-        heard.stop_told_s = now_s
+        heard.stop_sent_at_s = now_s
         own_id = self._state.settings.node_id
-        self._peers.tell_everyone(VersionStop(own_id, record.service, record.order_revision, cause))
+        self._peers.broadcast(VersionStop(own_id, record.service, record.order_revision, cause))
 
 
-def _is_due(notes: _Notes, told: _Notes, since_s: float) -> bool:
-    return since_s >= (RETELL_PERIOD_S if notes == told else TELL_PERIOD_S)
+def _is_due(entries: _Entries, sent: _Entries, since_s: float) -> bool:
+    return since_s >= (RESEND_INTERVAL_S if entries == sent else SEND_INTERVAL_S)
 
 
-def _counts(note: EvidenceNote) -> AnswerCounts:
-    return AnswerCounts(note.answers, note.failed, note.slow)
+def _counts(entry: EvidenceEntry) -> AnswerCounts:
+    return AnswerCounts(entry.answers, entry.failed, entry.slow)
 
 
-def _answers(notes: Iterable[EvidenceNote]) -> int:
-    return sum(note.answers for note in notes)
+def _total_answers(entries: Iterable[EvidenceEntry]) -> int:
+    return sum(note.answers for note in entries)
 
 
-def _add_up(senders: Iterable[_Notes]) -> _Notes:
+def _sum_entries(senders: Iterable[_Entries]) -> _Entries:
     totals: dict[tuple[int, int], AnswerCounts] = {}
     for notes in senders:
         for note in notes:
             totals.setdefault((note.route, note.replica), AnswerCounts()).add(_counts(note))
     return tuple(
-        EvidenceNote(route, replica, counts.answers, counts.failed, counts.slow)
+        EvidenceEntry(route, replica, counts.answers, counts.failed, counts.slow)
         for (route, replica), counts in totals.items()
     )
--- a/winchfork/router/limit_book.py
+++ b/winchfork/router/limit_registry.py
@@ -19,140 +19,140 @@
     from winchfork.router.state import RouterState
 
 
-class ToldLimit(msgspec.Struct, frozen=True):
+class ReportedLimit(msgspec.Struct, frozen=True):
     """What a peer has heard of a replica's limit; ``per_s`` None: it has ended."""
 
     per_s: float | None
-    heard_s: float
+    received_at_s: float
 
 
-class LimitBook:
+class LimitRegistry:
     """The limits of all replicas, on the beliefs of one process."""
 
     def __init__(self, state: RouterState) -> None:
         self._state = state
-        self._lines = LogRateLimit()
+        self._log_limiter = LogRateLimit()
         #: The daemons that share limits, with their zones, and when they last changed.
         self._daemons: Mapping[str, str] = {state.settings.node_id: state.settings.zone}
-        self._changed_s = -math.inf
-        self._hearsay = PeerReports()
+        self._daemons_changed_at_s = -math.inf
+        self._peer_reports = PeerReports()
         #: Replicas that have named a limit, by incarnation; some may have ended it, or be gone.
-        self._named: dict[int, RelayReplica] = {}
+        self._limited: dict[int, RelayReplica] = {}
         #: Told of each limit that one of this daemon's own answers began, changed or ended, and of
         #: each answer that named one again.
-        self.on_heard: Callable[[RelayReplica, LimitChange], None] = lambda replica, change: None
+        self.on_limit_received: Callable[[RelayReplica, LimitChange], None] = lambda replica, change: None
 
-    def limited(self, service: str) -> list[RelayReplica]:
+    def limited_replicas(self, service: str) -> list[RelayReplica]:
         """Return the service's replicas that have named a limit."""
-        return [replica for replica in self._all() if replica.listing.service == service]
+        return [replica for replica in self._all_limited() if replica.listing.service == service]
 
-    def known(self) -> dict[str, float]:
+    def limits_by_replica(self) -> dict[str, float]:
         """Return the limit of each replica that names one, in requests a second."""
-        return {replica.replica_id: replica.notice.limit.per_s or 0.0 for replica in self._all()}
+        return {replica.replica_id: replica.notice.limit.per_s or 0.0 for replica in self._all_limited()}
 
-    def _all(self) -> list[RelayReplica]:
+    def _all_limited(self) -> list[RelayReplica]:
         fleet = self._state.fleet
         return [
             replica
-            for replica in self._named.values()
+            for replica in self._limited.values()
             if replica.notice.limit.per_s is not None and fleet.is_listed(replica)
         ]
 
-    def note_listed(self, replica: RelayReplica) -> None:
+    def mark_listed(self, replica: RelayReplica) -> None:
         """Take in that a replica is listed, perhaps again, with what it had said before."""
         if replica.notice.limit.per_s is not None:
-            self.assign(replica)
+            self.assign_position(replica)
 
     # Own answers
 
-    def note_named(self, replica: RelayReplica, per_s: float, sent_s: float | None = None) -> None:
+    def record_limit(self, replica: RelayReplica, per_s: float, sent_s: float | None = None) -> None:
         """Take in that an answer of a replica names a limit, of a request that was sent then."""
         limit = replica.notice.limit
         if sent_s is not None and limit.has_ended_since(sent_s):
             return
         was_per_s = limit.per_s
         change = limit.update(per_s, self._state.clock())
-        self._hearsay.forget(replica.order_hash)
-        self._after(replica, change, was_per_s)
-        self.on_heard(replica, change)
+        self._peer_reports.forget(replica.order_hash)
+        self._apply_change(replica, change, was_per_s)
+        self.on_limit_received(replica, change)
 
-    def note_answer(self, replica: RelayReplica, sent_s: float) -> None:
+    def record_unlimited_answer(self, replica: RelayReplica, sent_s: float) -> None:
         """Take in that the answer to a request that was sent then names no limit."""
         limit = replica.notice.limit
         if not limit.may_be_ended_by_answer(sent_s):
             return
         was_per_s = limit.per_s
         change = limit.clear(self._state.clock())
-        self._after(replica, change, was_per_s)
-        self.on_heard(replica, change)
+        self._apply_change(replica, change, was_per_s)
+        self.on_limit_received(replica, change)
 
     # Peers
 
-    def take(self, sender_id: str, replica: RelayReplica, told: ToldLimit) -> None:
+    def handle_peer_report(self, sender_id: str, replica: RelayReplica, report: ReportedLimit) -> None:
         """Take in what a peer has heard."""
         limit = replica.notice.limit
         was_per_s = limit.per_s
-        if told.per_s is None:
-            self._after(replica, limit.clear(told.heard_s), was_per_s, sender_id)
+        if report.per_s is None:
+            self._apply_change(replica, limit.clear(report.received_at_s), was_per_s, sender_id)
         elif self._is_credible(sender_id, replica):
-            change = limit.update(told.per_s, told.heard_s)
-            self._after(replica, change, was_per_s, sender_id)
+            change = limit.update(report.per_s, report.received_at_s)
+            self._apply_change(replica, change, was_per_s, sender_id)
 
     def _is_credible(self, sender_id: str, replica: RelayReplica) -> bool:
         service = replica.listing.service
-        heeded = {item.order_hash for item in self.limited(service)}
+        heeded = {item.order_hash for item in self.limited_replicas(service)}
         replicas = len(self._state.fleet.of_service(service))
-        return self._hearsay.accept(replica.order_hash, sender_id, heeded, replicas)
+        return self._peer_reports.accept(replica.order_hash, sender_id, heeded, replicas)
 
     # Who may send
 
-    def settle_from(self, now_s: float) -> None:
+    def begin_stabilization(self, now_s: float) -> None:
         """Take this daemon for one that does not know yet who else there is."""
-        self._changed_s = now_s
+        self._daemons_changed_at_s = now_s
 
-    def install_daemons(self, zones: Mapping[str, str], now_s: float) -> None:
+    def update_daemons(self, zones: Mapping[str, str], now_s: float) -> None:
         """Share limits among these daemons from now on; ``zones`` holds the zone of each."""
         if zones == self._daemons:
             return
         self._daemons = zones
-        self._changed_s = now_s
-        self._named = {replica.order_hash: replica for replica in self._all()}
-        for replica in self._named.values():
-            self.assign(replica)
+        self._daemons_changed_at_s = now_s
+        self._limited = {replica.order_hash: replica for replica in self._all_limited()}
+        for replica in self._limited.values():
+            self.assign_position(replica)
 
-    def assign(self, replica: RelayReplica) -> None:
+    def assign_position(self, replica: RelayReplica) -> None:
         """Give this daemon its place among those that may send to a limited replica."""
-        self._named[replica.order_hash] = replica
-        order = self._order(replica)
+        self._limited[replica.order_hash] = replica
+        order = self._rank_daemons(replica)
         own_id = self._state.settings.node_id
         # One that is not counted, since it stops, comes last.
         place = order.index(own_id) if own_id in order else len(order)
-        replica.notice.limit.set_position(LimitPosition(place, len(order)), self._changed_s + STABILIZATION_S)
+        replica.notice.limit.set_position(LimitPosition(place, len(order)), self._daemons_changed_at_s + STABILIZATION_S)
 
-    def _order(self, replica: RelayReplica) -> list[str]:
+    def _rank_daemons(self, replica: RelayReplica) -> list[str]:
         """Return the daemons, the nearest to a replica first: to others it is the dearer one."""
         regions = self._state.settings.regions
         zone = replica.listing.zone
         ranked = rendezvous_rank(replica.order_hash, self._daemons)
         return sorted(ranked, key=lambda item: regions.distance(zone, self._daemons[item]).value)
 
-    def _after(
+    def _apply_change(
         self,
         replica: RelayReplica,
         change: LimitChange,
         was_per_s: float | None,
-        told_by: str | None = None,
+        reported_by: str | None = None,
     ) -> None:
         """Do what follows from a change, and log it."""
         if change is LimitChange.NOTHING:
             return
         if change is LimitChange.ENDED:
-            self._hearsay.forget(replica.order_hash)
-            self._named.pop(replica.order_hash, None)
+            self._peer_reports.forget(replica.order_hash)
+            self._limited.pop(replica.order_hash, None)
         else:
-            self.assign(replica)
+            self.assign_position(replica)
         self._state.metrics.notices.labels(f"limit_{change.value}").inc()
-        if not self._lines.allows(self._state.clock()):
+        if not self._log_limiter.allows(self._state.clock()):
             return
         limit = replica.notice.limit
         log_event(
@@ -161,7 +161,7 @@
             change=change.value,
             per_s=limit.per_s,
             was_per_s=was_per_s,
-            told_by=told_by,
+            told_by=reported_by,
             place=limit.position.rank,
             holders=limit.holders,
             in_flight=replica.in_flight,
--- a/winchfork/router/metrics.py
+++ b/winchfork/router/metrics.py
@@ -66,7 +66,7 @@
 _Child = TypeVar("_Child", CounterChild, HistogramChild)
 
 
-class Labelled(Generic[_Child]):
+class LabelledMetric(Generic[_Child]):
     """A figure for each value of one label, or under none where ``label`` is empty."""
 
     def __init__(
@@ -82,7 +82,7 @@
         return self.children[value]
 
 
-class _ShownFigure(msgspec.Struct, frozen=True):
+class _Gauge(msgspec.Struct, frozen=True):
     """A figure that is read when the page is asked for."""
 
     name: str
@@ -94,22 +94,22 @@
     """All figures of one process."""
 
     def __init__(self) -> None:
-        self.requests = Labelled(
+        self.requests = LabelledMetric(
             CounterChild, "winchfork_requests", "Requests ended, by outcome.", "outcome"
         )
-        self.request_seconds = Labelled(
+        self.request_seconds = LabelledMetric(
             HistogramChild,
             "winchfork_request_seconds",
             "From the first byte of a request to the end of its answer, by kind of route.",
             "kind",
         )
-        self._first_event = Labelled(
+        self._first_event = LabelledMetric(
             HistogramChild,
             "winchfork_first_event_seconds",
             "From the first byte of a request to the first event of its stream.",
         )
         self.first_event_seconds = self._first_event.labels("")
-        self.calls = Labelled(
+        self.calls = LabelledMetric(
             CounterChild, "winchfork_calls", "Calls to the store and to replicas.", "call"
         )
         self.bad_datagrams = Counter("winchfork_bad_datagrams", "Datagrams that no peer has made.")
@@ -119,62 +119,62 @@
         self.documents_refused = Counter(
             "winchfork_documents_refused", "Entries of the store that could not be read."
         )
-        self.updates_relayed = Labelled(
+        self.updates_relayed = LabelledMetric(
             CounterChild,
             "winchfork_updates_relayed",
             "Updates of the store's entries taken from peers.",
             "outcome",
         )
-        self.updates_dropped = Labelled(
+        self.updates_dropped = LabelledMetric(
             CounterChild,
             "winchfork_updates_dropped",
             "Answers of the store and updates of peers that were not taken in, by why.",
             "why",
         )
-        self.store_refusals = Labelled(
+        self.store_refusals = LabelledMetric(
             CounterChild,
             "winchfork_store_refusals",
             "Answers of the store other than success, by status.",
             "status",
         )
-        self.quota_used = Labelled(
+        self.quota_used = LabelledMetric(
             CounterChild, "winchfork_quota_used", "Units let through, by tenant.", "tenant"
         )
-        self.quota_refused = Labelled(
+        self.quota_refused = LabelledMetric(
             CounterChild, "winchfork_quota_refused", "Units refused, by tenant.", "tenant"
         )
-        self.sent_by_software = Labelled(
+        self.sent_by_software = LabelledMetric(
             CounterChild,
             "winchfork_sent_by_software",
             "Requests sent to replicas, by service and version of its software.",
             "software",
         )
-        self.sent_by_region = Labelled(
+        self.sent_by_region = LabelledMetric(
             CounterChild,
             "winchfork_sent_by_region",
             "Requests sent, by replica's region.",
             "region",
         )
-        self.notices = Labelled(
+        self.notices = LabelledMetric(
             CounterChild,
             "winchfork_notices",
             "Replicas that said in an answer that they drain, began a backoff, or named a limit.",
             "notice",
         )
-        self.sent_under_limit = Labelled(
+        self.sent_under_limit = LabelledMetric(
             CounterChild,
             "winchfork_sent_under_limit",
             "Requests sent to a replica that names a limit, by replica.",
             "replica",
         )
-        self.limit_effects = Labelled(
+        self.limit_effects = LabelledMetric(
             CounterChild,
             "winchfork_limit_effects",
             "Requests that were placed elsewhere, waited or were refused while replicas were at "
             "their limits.",
             "effect",
         )
-        self.unknown_words = Labelled(
+        self.unknown_headers = LabelledMetric(
             CounterChild,
             "winchfork_unknown_notices",
             "Answers that say something of their sender which this build does not know, by header.",
@@ -186,11 +186,11 @@
         self.replica_limits: Callable[[], Mapping[str, float]] = dict
         #: Units that each tenant may use now, read when the page is asked for.
         self.quota_left: Callable[[], Mapping[str, float]] = dict
-        self._shown: list[_ShownFigure] = []
+        self._gauges: list[_Gauge] = []
 
-    def show(self, name: str, description: str, read: Callable[[], float]) -> None:
+    def add_gauge(self, name: str, description: str, read: Callable[[], float]) -> None:
         """Show a figure that is read when the page is asked for."""
-        self._shown.append(_ShownFigure(f"winchfork_{name}", description, read))
+        self._gauges.append(_Gauge(f"winchfork_{name}", description, read))
 
     def render(self) -> bytes:
         """Return the page in the text exposition format."""
@@ -217,7 +217,7 @@
             self.updates_dropped,
             self.store_refusals,
             self.notices,
-            self.unknown_words,
+            self.unknown_headers,
         )
         sent = (self.sent_by_software, self.sent_by_region, self.sent_under_limit)
         quotas = (self.quota_used, self.quota_refused)
@@ -237,7 +237,7 @@
                 )
             yield family
         yield from self._labelled_gauges()
-        for figure in self._shown:
+        for figure in self._gauges:
             yield GaugeMetricFamily(figure.name, figure.description, value=float(figure.read()))
 
     def _labelled_gauges(self) -> Iterator[Metric]:
--- a/winchfork/router/notice_book.py
+++ b/winchfork/router/notice_registry.py
@@ -18,37 +18,37 @@
 
 
 #: Unknown words of replicas that are counted and logged by name; more are not told apart.
-MOST_UNKNOWN_WORDS = 16
+MAX_UNKNOWN_HEADERS = 16
 
 
-class NoticeBook:
+class NoticeRegistry:
     """The notices of all replicas, on the beliefs of one process."""
 
     def __init__(self, state: RouterState) -> None:
         self._state = state
-        self._unreadable = LogRateLimit()
-        self._unknown = UnknownHeaderCounter(state.metrics.unknown_words, MOST_UNKNOWN_WORDS)
-        self._hearsay = PeerReports()
+        self._unreadable_log_limiter = LogRateLimit()
+        self._unknown_headers = UnknownHeaderCounter(state.metrics.unknown_headers, MAX_UNKNOWN_HEADERS)
+        self._peer_reports = PeerReports()
         #: Told of each replica that has said to this daemon that it drains or wants a pause.
-        self.on_heard: Callable[[RelayReplica], None] = lambda replica: None
+        self.on_notice_received: Callable[[RelayReplica], None] = lambda replica: None
         #: Seconds since 1970, by which replicas date their starts.
         self.wall_clock: Callable[[], float] = time.time
 
-    def note(
-        self, replica: RelayReplica, notice: AnswerNotice, answers_sent_s: float | None = None
+    def record(
+        self, replica: RelayReplica, notice: AnswerNotice, request_sent_at_s: float | None = None
     ) -> None:
         """Take in what an answer says of the replica that was asked.
 
         ``answers_sent_s`` is when the request was sent that it answers, if a replica's own program
         answers a request: only these name no limit where there is none.
         """
-        if answers_sent_s is not None and not notice.has_limit:
-            self._state.limits.note_answer(replica, answers_sent_s)
+        if request_sent_at_s is not None and not notice.has_limit:
+            self._state.limits.record_unlimited_answer(replica, request_sent_at_s)
         if notice.is_empty:
             return
         state = self._state
         now_s = state.clock()
-        if notice.unreadable and self._unreadable.allows(now_s):
+        if notice.unreadable and self._unreadable_log_limiter.allows(now_s):
             log_event(
                 "notice_unreadable",
                 "WARNING",
@@ -56,33 +56,33 @@
                 reason=notice.unreadable,
             )
         if notice.limit_per_s is not None:
-            state.limits.note_named(replica, notice.limit_per_s, answers_sent_s)
+            state.limits.record_limit(replica, notice.limit_per_s, request_sent_at_s)
         for name in notice.unknown_names:
-            if self._unknown.count(name):
+            if self._unknown_headers.count(name):
                 log_event("notice_unknown", "WARNING", replica=replica.replica_id, header=name)
         change = state.fleet.record_notice(replica, notice, now_s, state.generator.random())
         if change is not NoticeChange.NOTHING:
-            self._hearsay.forget(replica.order_hash)
+            self._peer_reports.forget(replica.order_hash)
             self._log(replica, notice, change)
-            self.on_heard(replica)
+            self.on_notice_received(replica)
         listed = state.fleet.get(replica.replica_id)
         if listed is not None and listed is not replica:
             self.adopt(listed)
 
-    def take(self, sender_id: str, replica: RelayReplica, told: ReportedPause) -> None:
+    def handle_peer_report(self, sender_id: str, replica: RelayReplica, report: ReportedPause) -> None:
         """Take in what a replica has said to a peer."""
         now_s = self._state.clock()
         service = self._state.fleet.of_service(replica.listing.service)
         heeded = {item.order_hash for item in service if item.notice.available_in_s(now_s) > 0.0}
-        if not self._hearsay.accept(replica.order_hash, sender_id, heeded, len(service)):
+        if not self._peer_reports.accept(replica.order_hash, sender_id, heeded, len(service)):
             return
-        if replica.notice.apply_peer_pause(told, now_s):
+        if replica.notice.apply_peer_pause(report, now_s):
             log_event(
                 "replica_notice",
                 replica=replica.replica_id,
                 notice="told",
                 told_by=sender_id,
-                draining=told.draining,
+                draining=report.draining,
                 backoff_s=replica.notice.backoff_until_s - now_s,
                 in_flight=replica.in_flight,
             )
@@ -97,7 +97,7 @@
         now_s = self._state.clock()
         age_s = self.wall_clock() - replica.listing.started_at_ms / 1000.0
         if replica.notice.adopt(former, now_s - age_s, now_s):
-            self._state.limits.note_listed(replica)
+            self._state.limits.mark_listed(replica)
             log_event(
                 "replica_notice",
                 replica=replica.replica_id,
--- a/winchfork/router/outcome_recorder.py
+++ b/winchfork/router/outcome_recorder.py
@@ -67,15 +67,15 @@
         digest = self._admitted.digest
         replica = plan.replica
         if isinstance(outcome, Delivered):
-            crashes.note_outlived(digest)
+            crashes.record_success(digest)
         if not isinstance(outcome, MayHaveRun):
             return
         if outcome.answer is not None:
-            crashes.note_outlived(digest)
+            crashes.record_success(digest)
         elif outcome.truncated:
             listed = self._state.fleet.get(replica.replica_id) is replica
             if listed and replica.is_in_service:
-                crashes.note_broken(replica, digest, silent=outcome.silent)
+                crashes.record_broken_run(replica, digest, silent=outcome.silent)
 
     def _record_software(
         self, plan: AttemptPlan, outcome: Outcome, record: RequestRecord, took_s: float
--- a/winchfork/router/peer_messages.py
+++ b/winchfork/router/peer_messages.py
@@ -8,7 +8,7 @@
 from winchfork.core.software_state import StopCause
 
 
-class ReplicaLoadNote(PeerMessage, frozen=True):
+class ReplicaLoadEntry(PeerMessage, frozen=True):
     """The sender's own work on one replica, which is named by the hash of its id.
 
     ``memory_tokens`` is what this work may come to take of its memory; ``busy_steps`` is when the
@@ -17,12 +17,12 @@
 
     replica_hash: int
     in_flight: int
-    unread_tokens: int
+    pending_prefill_tokens: int
     memory_tokens: int
     busy_steps: int
 
 
-class KeptNote(PeerMessage, frozen=True):
+class CachedPartsEntry(PeerMessage, frozen=True):
     """A replica has read these parts, each named by the hash of its namespace and id."""
 
     replica_hash: int
@@ -33,13 +33,13 @@
     """What the sender has done lately; ``correction`` is for a hub that guesses at the quotas."""
 
     sender_id: str
-    loads: tuple[ReplicaLoadNote, ...]
-    kept: tuple[KeptNote, ...]
+    loads: tuple[ReplicaLoadEntry, ...]
+    cached: tuple[CachedPartsEntry, ...]
     quota: QuotaReport | None = None
     correction: QuotaLevels | None = None
 
 
-class WeightsNote(PeerMessage, frozen=True):
+class WeightsEntry(PeerMessage, frozen=True):
     """A replica's weights version, and what the rollout asks for it.
 
     ``incarnation`` tells the replica from an earlier or a later one under the same id. It must be
@@ -59,10 +59,10 @@
 
     sender_id: str
     fence: int
-    notes: tuple[WeightsNote, ...]
+    entries: tuple[WeightsEntry, ...]
 
 
-class NamedNote(PeerMessage, frozen=True):
+class VersionAgeEntry(PeerMessage, frozen=True):
     """The sender heard this long ago that operators named a version."""
 
     model: str
@@ -70,10 +70,10 @@
     age_ms: int
 
 
-class NamedVersions(PeerMessage, frozen=True):
+class VersionAges(PeerMessage, frozen=True):
     """What a daemon that has just started cannot learn from the store: the ages of versions."""
 
-    notes: tuple[NamedNote, ...]
+    entries: tuple[VersionAgeEntry, ...]
 
 
 class Resignation(PeerMessage, frozen=True):
@@ -87,7 +87,7 @@
     uptime_ms: int
 
 
-class Accusation(PeerMessage, frozen=True):
+class FailureReport(PeerMessage, frozen=True):
     """The sender has ejected a replica for failures that it has seen itself."""
 
     sender_id: str
@@ -99,8 +99,8 @@
 
     sender_id: str
     zone: str
-    loads: tuple[ReplicaLoadNote, ...]
-    kept: tuple[KeptNote, ...]
+    loads: tuple[ReplicaLoadEntry, ...]
+    cached: tuple[CachedPartsEntry, ...]
     quota: QuotaReport | None = None
     levels: QuotaLevels | None = None
 
@@ -113,15 +113,15 @@
 
     sender_id: str
     complete: bool
-    loads: tuple[ReplicaLoadNote, ...]
-    kept: tuple[KeptNote, ...]
+    loads: tuple[ReplicaLoadEntry, ...]
+    cached: tuple[CachedPartsEntry, ...]
     levels: QuotaLevels | None = None
     #: Zones that cannot be reached from this one, and whether it hears no other.
-    unreachable: tuple[str, ...] = ()
+    unreachable_zones: tuple[str, ...] = ()
     is_isolated: bool = False
 
 
-class ZoneUse(PeerMessage, frozen=True):
+class ZoneQuotaUse(PeerMessage, frozen=True):
     """What a zone's daemons have used of the tenants' quotas, in the words of one of its hubs."""
 
     sender_id: str
@@ -140,8 +140,8 @@
     sender_id: str
     region: str
     complete: bool
-    loads: tuple[ReplicaLoadNote, ...]
-    uses: tuple[ZoneUse, ...] = ()
+    loads: tuple[ReplicaLoadEntry, ...]
+    uses: tuple[ZoneQuotaUse, ...] = ()
 
 
 class Forward(PeerMessage, frozen=True):
@@ -189,7 +189,7 @@
     part: DocumentPart
 
 
-class EvidenceNote(PeerMessage, frozen=True):
+class EvidenceEntry(PeerMessage, frozen=True):
     """Answers on one route since an order was given, the route named by its hash.
 
     ``replica`` is the hash of one of the new version; 0: all replicas of the old one.
@@ -209,11 +209,11 @@
     """
 
     sender_id: str
-    life: int
+    start_id: int
     zone: str
     service: str
     order_revision: int
-    notes: tuple[EvidenceNote, ...]
+    entries: tuple[EvidenceEntry, ...]
 
 
 class VersionStop(PeerMessage, frozen=True):
@@ -225,20 +225,20 @@
     cause: StopCause
 
 
-class EndedUnder(PeerMessage, frozen=True):
+class CrashReport(PeerMessage, frozen=True):
     """A replica's incarnation has ended while it ran these requests of the sender's."""
 
     incarnation: int
     digests: tuple[bytes, ...]
 
 
-class SuspectUnderWay(PeerMessage, frozen=True):
+class SuspectRunReport(PeerMessage, frozen=True):
     """The sender runs a request under which two replicas have ended; 0 ms left: no longer."""
 
     sender_id: str
     digest: bytes
     incarnation: int
-    left_ms: int
+    remaining_ms: int
 
 
 class ClearedRequests(PeerMessage, frozen=True):
@@ -247,27 +247,27 @@
     digests: tuple[bytes, ...]
 
 
-class LimitNote(PeerMessage, frozen=True):
+class LimitEntry(PeerMessage, frozen=True):
     """A limit that an answer has named so many milliseconds ago; None: it named none any more."""
 
     per_s: float | None
     age_ms: int
 
 
-class NoticeNote(PeerMessage, frozen=True):
+class ReplicaNoticeEntry(PeerMessage, frozen=True):
     """What a replica has said of itself to the sender, the pause from now on."""
 
     incarnation: int
     draining: bool
     backoff_ms: int
-    limit: LimitNote | None = None
+    limit: LimitEntry | None = None
 
 
 class ReplicaNotices(PeerMessage, frozen=True):
     """What replicas have said of themselves in the sender's own answers."""
 
     sender_id: str
-    notes: tuple[NoticeNote, ...]
+    entries: tuple[ReplicaNoticeEntry, ...]
 
 
 PEER_MESSAGE_TYPES = (
@@ -276,19 +276,19 @@
     IndirectProbe,
     Activity,
     WeightsProgress,
-    NamedVersions,
+    VersionAges,
     Resignation,
     ZoneWork,
     FleetWork,
     Forward,
     DocumentPull,
     DocumentPart,
-    Accusation,
+    FailureReport,
     RegionWork,
     VersionEvidence,
     VersionStop,
-    EndedUnder,
-    SuspectUnderWay,
+    CrashReport,
+    SuspectRunReport,
     ClearedRequests,
     ReplicaNotices,
     EraDocumentPull,
--- a/winchfork/router/peer_port.py
+++ b/winchfork/router/peer_messenger.py
@@ -9,7 +9,7 @@
 from winchfork.core.zone_hubs import FleetView
 
 
-class PeerPort(Protocol):
+class PeerMessenger(Protocol):
     """Datagrams to other router processes; nothing here waits, and nothing is certain to arrive."""
 
     @property
@@ -25,6 +25,6 @@
         """Send one message to several peers."""
         ...
 
-    def tell_everyone(self, message: Any) -> None:
+    def broadcast(self, message: Any) -> None:
         """Send one message to every daemon, through the hubs where the fleet is large."""
         ...
--- a/winchfork/router/peer_wiring.py
+++ b/winchfork/router/peer_wiring.py
@@ -12,20 +12,20 @@
 from winchfork.router.leadership import Leadership
 from winchfork.router.notice_exchange import NoticeExchange
 from winchfork.router.peer_messages import (
-    Accusation,
+    FailureReport,
     Activity,
     ClearedRequests,
     DocumentPart,
     DocumentPull,
-    EndedUnder,
+    CrashReport,
     EraDocumentPart,
     EraDocumentPull,
     FleetWork,
-    NamedVersions,
+    VersionAges,
     RegionWork,
     ReplicaNotices,
     Resignation,
-    SuspectUnderWay,
+    SuspectRunReport,
     VersionEvidence,
     VersionStop,
     WeightsProgress,
@@ -36,60 +36,60 @@
 from winchfork.router.region_exchange import RegionExchange
 from winchfork.router.state import RouterState
 from winchfork.router.store_sync import StoreSync
-from winchfork.router.version_news import VersionNews
+from winchfork.router.weights_exchange import WeightsExchange
 from winchfork.router.work_exchange import WorkExchange
 
 
-class PeerParts(msgspec.Struct, frozen=True):
+class PeerExchanges(msgspec.Struct, frozen=True):
     """What the leader's duties need of what was connected."""
 
-    news: VersionNews
+    weights: WeightsExchange
     evidence: EvidenceExchange
     notices: NoticeExchange
 
 
 def connect_peers(
     state: RouterState, peers: PeerGroup, sync: StoreSync, leadership: Leadership
-) -> PeerParts:
+) -> PeerExchanges:
     """Connect a process's parts to its peers."""
     call_later = asyncio.get_running_loop().call_later
     evidence = EvidenceExchange(state, peers, call_later)
     quotas = QuotaExchange(state, peers)
     regions = RegionExchange(state, peers, quotas)
     work = WorkExchange(state, peers, call_later, quotas, regions)
-    news = VersionNews(state, peers)
+    news = WeightsExchange(state, peers)
     relay = DocumentRelay(state, peers, sync, call_later)
-    peers.handle(Activity, work.take_activity)
-    peers.handle(ZoneWork, work.take_zone)
-    peers.handle(RegionWork, work.take_region)
-    peers.handle(FleetWork, work.take_fleet)
-    peers.handle(WeightsProgress, news.take_weights)
-    peers.handle(NamedVersions, news.take_named)
-    peers.handle(Resignation, leadership.note_resignation)
-    peers.handle(
-        Accusation, lambda message: state.note_accusation(message.replica_hash, message.sender_id)
+    peers.register_handler(Activity, work.handle_activity)
+    peers.register_handler(ZoneWork, work.handle_zone)
+    peers.register_handler(RegionWork, work.handle_region)
+    peers.register_handler(FleetWork, work.handle_fleet)
+    peers.register_handler(WeightsProgress, news.handle_weights)
+    peers.register_handler(VersionAges, news.handle_version_ages)
+    peers.register_handler(Resignation, leadership.note_resignation)
+    peers.register_handler(
+        FailureReport, lambda message: state.note_accusation(message.replica_hash, message.sender_id)
     )
-    state.on_ejected = lambda replica: peers.tell_everyone(
-        Accusation(state.settings.node_id, replica.order_hash)
+    state.on_ejected = lambda replica: peers.broadcast(
+        FailureReport(state.settings.node_id, replica.order_hash)
     )
-    state.on_work_sent = work.tell_soon
-    peers.handle(VersionEvidence, evidence.take)
-    peers.handle(VersionStop, evidence.take_stop)
+    state.on_work_sent = work.send_soon
+    peers.register_handler(VersionEvidence, evidence.handle_evidence)
+    peers.register_handler(VersionStop, evidence.handle_stop)
     crashes = CrashExchange(state, peers, call_later)
-    peers.handle(EndedUnder, crashes.take_ended)
-    peers.handle(SuspectUnderWay, crashes.take_run)
-    peers.handle(ClearedRequests, crashes.take_cleared)
+    peers.register_handler(CrashReport, crashes.handle_crash_report)
+    peers.register_handler(SuspectRunReport, crashes.handle_suspect_run)
+    peers.register_handler(ClearedRequests, crashes.handle_cleared)
     notices = NoticeExchange(state, peers, call_later)
-    peers.handle(ReplicaNotices, notices.take)
-    peers.handle(DocumentPull, relay.take_pull)
-    peers.handle(DocumentPart, relay.take_part)
-    peers.handle(EraDocumentPull, relay.take_era_pull)
-    peers.handle(EraDocumentPart, relay.take_era_part)
-    peers.on_tick += [state.standstill.tick, news.greet_newcomers, work.tick, notices.tick]
+    peers.register_handler(ReplicaNotices, notices.handle_notices)
+    peers.register_handler(DocumentPull, relay.take_pull)
+    peers.register_handler(DocumentPart, relay.take_part)
+    peers.register_handler(EraDocumentPull, relay.take_era_pull)
+    peers.register_handler(EraDocumentPart, relay.take_era_part)
+    peers.on_tick += [state.standstill.tick, news.send_version_ages, work.tick, notices.tick]
     if state.settings.software_rollouts:
         peers.on_tick.append(evidence.tick)
     peers.on_position = relay.note_position
     sync.relay_through(relay)
     leadership.eligible = lambda: relay.may_lead
     leadership.newest_era = lambda: state.eras.newest
-    return PeerParts(news, evidence, notices)
+    return PeerExchanges(news, evidence, notices)
--- a/winchfork/router/peers.py
+++ b/winchfork/router/peers.py
@@ -48,26 +48,26 @@
 #: Keeps other systems' datagrams out; it is no secret, the network is the platform's.
 _CLUSTER_KEY = b"winchfork-router-peers"
 #: Age told by a daemon that has no proof.
-_NO_PROOF_S = 3600.0
+_NO_PROOF_AGE_S = 3600.0
 
 #: Peer addresses kept in parsed form: more than the target size of 420 daemons.
-_KNOWN_ADDRESSES = 1024
+_ADDRESS_CACHE_SIZE = 1024
 
 #: Seconds in which a datagram that comes again is the copy that another hub has passed on. What is
 #: told anew in the same words, such as an accusation, comes a second or more later.
-_FORWARD_MEMORY_S = 0.5
+_FORWARD_DEDUP_S = 0.5
 
 _Message = TypeVar("_Message")
 
 
-@functools.lru_cache(maxsize=_KNOWN_ADDRESSES)
+@functools.lru_cache(maxsize=_ADDRESS_CACHE_SIZE)
 def _socket_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 class PeerGroup(asyncio.DatagramProtocol):
-    """This process among its peers; implements :class:`winchfork.router.peer_port.PeerPort`."""
+    """This process among its peers; implements :class:`winchfork.router.peer_messenger.PeerPort`."""
 
     def __init__(self, state: RouterState, generator: random.Random) -> None:
         settings = state.settings
@@ -93,12 +93,12 @@
             seeds,
             generator,
             revisions=self._own_proof,
-            on_reply=self._take_proof,
+            on_reply=self._handle_proof,
         )
         self._transport: asyncio.DatagramTransport | None = None
         self._handlers: dict[type, Callable[[Any], None]] = {}
         self._view = FleetView.of(own, [own], settings.regions)
-        self._view_changes = -1
+        self._view_version = -1
         #: Told of each tick: the monotonic time.
         self.on_tick: list[Callable[[float], None]] = []
         #: Told of the address and the position in the store of each peer that answers.
@@ -110,11 +110,11 @@
         self.sent_bytes = 0
         self.sent_messages = 0
         #: Of these bytes, those of work, notes and updates to daemons of other regions.
-        self.far_bytes = 0
-        self.handle(Probe, self._take_membership)
-        self.handle(ProbeReply, self._take_membership)
-        self.handle(IndirectProbe, self._take_membership)
-        self.handle(Forward, self._take_forward)
+        self.cross_region_bytes = 0
+        self.register_handler(Probe, self._handle_membership)
+        self.register_handler(ProbeReply, self._handle_membership)
+        self.register_handler(IndirectProbe, self._handle_membership)
+        self.register_handler(Forward, self._handle_forward)
 
     async def open(self) -> None:
         """Bind the socket and greet the seeds; without ports there are no peers."""
@@ -137,12 +137,12 @@
             if now_s >= next_hub_probe_s:
                 next_hub_probe_s = now_s + self._informant_period_s
                 self._probe_informant(now_s)
-            self._tell_store_delay()
-            self._look_around()
+            self._announce_store_delay()
+            self._refresh_view()
             for listener in self.on_tick:
                 listener(now_s)
 
-    def handle(self, message_type: type[_Message], handler: Callable[[_Message], None]) -> None:
+    def register_handler(self, message_type: type[_Message], handler: Callable[[_Message], None]) -> None:
         """Give messages of one type to ``handler``."""
         self._handlers[message_type] = handler
 
@@ -156,7 +156,7 @@
         if self._transport is not None:
             self._transport.close()
 
-    def members(self) -> int:
+    def member_count(self) -> int:
         """Return how many daemons are believed to work, this one included."""
         return len(self._membership.members())
 
@@ -181,9 +181,9 @@
         for receiver in receivers:
             self._send_datagram(receiver.peer_address, data)
             if self._view.regions.is_cross_region(self._view.own.zone, receiver.zone):
-                self.far_bytes += len(data)
+                self.cross_region_bytes += len(data)
 
-    def tell_everyone(self, message: Any) -> None:
+    def broadcast(self, message: Any) -> None:
         """Send one message to every other daemon."""
         view = self._view
         if view.is_full_mesh:
@@ -239,11 +239,11 @@
     def _informant_period_s(self) -> float:
         return WATCHER_PROBE_PERIOD_S if self._view.is_hub else HUB_PROBE_PERIOD_S
 
-    def _look_around(self) -> None:
+    def _refresh_view(self) -> None:
         """Renew the view of the fleet when a member has changed."""
-        if self._view_changes == self._membership.change_count:
+        if self._view_version == self._membership.change_count:
             return
-        self._view_changes = self._membership.change_count
+        self._view_version = self._membership.change_count
         members = self._membership.members()
         self._view = FleetView.of(self._membership.own, members, self._state.settings.regions)
         self._state.daemons = len(members) + _SPARE_DAEMONS
@@ -251,7 +251,7 @@
         most = len(self._view.others) // 2 + 1
         self._state.store_outage.peers_needed = most if self._view.is_full_mesh else 1
 
-    def _tell_store_delay(self) -> None:
+    def _announce_store_delay(self) -> None:
         """Announce once how far the store is, so that the daemons near it watch it and lead."""
         delay_s = self.store_delay_s()
         if delay_s is not None and not self._membership.own.store_delay_ms:
@@ -271,15 +271,15 @@
             informant = self._generator.choice(view.proof_sources)
             self._send_all([self._membership.probe(informant, now_s)])
 
-    def _take_membership(self, message: MembershipMessage) -> None:
+    def _handle_membership(self, message: MembershipMessage) -> None:
         self._send_all(self._membership.receive(message, self._loop.time()))
 
-    def _take_forward(self, message: Forward) -> None:
+    def _handle_forward(self, message: Forward) -> None:
         """Take in what another daemon has to say to everybody, and pass it on in this zone.
 
         What another region has to say comes to both speakers of this one; once is enough.
         """
-        if self._was_forwarded(message.datagram):
+        if self._is_duplicate(message.datagram):
             return
         inner = self._codec.decode(message.datagram)
         if isinstance(inner, (Failure, Forward)):
@@ -295,9 +295,9 @@
         if handler is not None:
             handler(inner)
 
-    def _was_forwarded(self, datagram: bytes) -> bool:
+    def _is_duplicate(self, datagram: bytes) -> bool:
         now_s = self._loop.time()
-        for digest in [key for key, at_s in self._forwarded.items() if _is_past(at_s, now_s)]:
+        for digest in [key for key, at_s in self._forwarded.items() if _is_forward_expired(at_s, now_s)]:
             del self._forwarded[digest]
         digest = xxhash.xxh3_64_intdigest(datagram)
         if digest in self._forwarded:
@@ -315,9 +315,9 @@
         age_s = self._state.freshness.age_s(self._loop.time())
         position = self._state.store_position
         era = (position.era,) if position.era else ()
-        return (position.revision, int(min(age_s, _NO_PROOF_S) * 1000) + 1, *era)
+        return (position.revision, int(min(age_s, _NO_PROOF_AGE_S) * 1000) + 1, *era)
 
-    def _take_proof(self, sender: Member, revisions: tuple[int, ...], asked_s: float) -> None:
+    def _handle_proof(self, sender: Member, revisions: tuple[int, ...], requested_at_s: float) -> None:
         """Adopt a peer's proof, dated from the question: however late the answer is read.
 
         It counts only here if everything up to the peer's position is known here as well, and if
@@ -325,13 +325,13 @@
         """
         settings = self._state.settings
         if settings.regions.is_cross_region(settings.zone, sender.zone):
-            self._state.region_delay.record_reply(self._loop.time() - asked_s)
+            self._state.region_delay.record_reply(self._loop.time() - requested_at_s)
         if len(revisions) not in (2, 3):
             return
         position = StorePosition(revisions[2] if len(revisions) == 3 else 0, revisions[0])
-        proven_s = asked_s - revisions[1] / 1000.0
+        proven_s = requested_at_s - revisions[1] / 1000.0
         now_s = self._loop.time()
-        self._state.store_outage.record_peer_reply(sender.member_id, proven_s, asked_s, now_s)
+        self._state.store_outage.record_peer_reply(sender.member_id, proven_s, requested_at_s, now_s)
         self._state.eras.note(position.era, told_by=sender.member_id)
         if position > self._state.store_position:
             self.on_position(sender.peer_address, position)
@@ -339,5 +339,5 @@
             self._state.freshness.prove(proven_s)
 
 
-def _is_past(at_s: float, now_s: float) -> bool:
-    return now_s - at_s > _FORWARD_MEMORY_S
+def _is_forward_expired(at_s: float, now_s: float) -> bool:
+    return now_s - at_s > _FORWARD_DEDUP_S
--- a/winchfork/router/process.py
+++ b/winchfork/router/process.py
@@ -104,7 +104,7 @@
         control = parts.make_control(self._calls)
         connected = connect_peers(self.state, self._peers, self._sync, self._leadership)
         self._weights_rollout = WeightsRollout(
-            self.state, self._leadership, control, self._peers, connected.news
+            self.state, self._leadership, control, self._peers, connected.weights
         )
         self._refusals = RefusalWriter(self.state, store, generator)
         self._software_rollout = SoftwareRollout(
@@ -189,7 +189,7 @@
 
     def _show_figures(self) -> None:
         state = self.state
-        show = state.metrics.show
+        show = state.metrics.add_gauge
         show("ready", "Whether callers are wanted.", lambda: state.ready)
         show("replicas", "Replicas listed.", lambda: len(state.fleet))
         show("parts_believed", "Parts believed to be kept.", lambda: len(state.parts))
@@ -219,7 +219,7 @@
             lambda: state.quotas.refill_share.coverage,
         )
         state.metrics.software_shares = state.software.shares
-        state.metrics.replica_limits = state.limits.known
+        state.metrics.replica_limits = state.limits.limits_by_replica
         show(
             "zones_unreachable",
             "Zones that requests are kept away from.",
@@ -233,7 +233,7 @@
         show(
             "peer_bytes_to_other_regions",
             "Bytes sent to peers in other regions.",
-            lambda: self._peers.far_bytes,
+            lambda: self._peers.cross_region_bytes,
         )
         state.metrics.quota_left = lambda: state.quotas.remaining(state.clock())
         counters = self._pool.counters
--- a/winchfork/router/quota_gate.py
+++ b/winchfork/router/quota_gate.py
@@ -14,27 +14,27 @@
     """What one admitted request has used of its tenant's quota."""
 
     def __init__(
-        self, book: QuotaLedger, clock: Callable[[], float], tenant: str, cost: float
+        self, ledger: QuotaLedger, clock: Callable[[], float], tenant: str, cost: float
     ) -> None:
-        self._book = book
+        self._ledger = ledger
         self._clock = clock
         self._tenant = tenant
         self._cost = cost
 
     def charge_again(self) -> None:
         """Count a request that is sent to another replica though it may have run."""
-        self._book.charge(self._tenant, self._cost, self._clock())
+        self._ledger.charge(self._tenant, self._cost, self._clock())
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Give back what a request has not used: it has not run and never will."""
-        self._book.charge(self._tenant, -self._cost, self._clock())
+        self._ledger.charge(self._tenant, -self._cost, self._clock())
 
 
 class QuotaGate:
     """Lets requests through, or says when to come back."""
 
-    def __init__(self, book: QuotaLedger, clock: Callable[[], float], metrics: RouterMetrics) -> None:
-        self._book = book
+    def __init__(self, ledger: QuotaLedger, clock: Callable[[], float], metrics: RouterMetrics) -> None:
+        self._ledger = ledger
         self._clock = clock
         self._metrics = metrics
 
@@ -45,13 +45,13 @@
         if tenant is None or tenant.limit is None:
             return None
         cost = tenant.limit.cost(declared_tokens)
-        refusal = self._book.try_acquire(tenant.name, cost, self._clock())
+        refusal = self._ledger.try_acquire(tenant.name, cost, self._clock())
         if refusal is None:
             self._metrics.quota_used.labels(tenant.name).inc(round(cost))
-            return QuotaCharge(self._book, self._clock, tenant.name, cost)
+            return QuotaCharge(self._ledger, self._clock, tenant.name, cost)
         self._metrics.quota_refused.labels(tenant.name).inc(round(cost))
         unit = tenant.limit.unit.value
-        coverage = self._book.refill_share.coverage
+        coverage = self._ledger.refill_share.coverage
         return FailureKind.QUOTA_EXCEEDED.because(
             f"tenant {tenant.name} has {refusal.remaining:.0f} {unit} left of its quota of "
             f"{tenant.limit.rate_per_s:.0f} a second, counted over {coverage:.0%} of "
--- a/winchfork/router/refusal_writer.py
+++ b/winchfork/router/refusal_writer.py
@@ -32,7 +32,7 @@
         self._generator = generator
         self._due_at_s: dict[bytes, float] = {}
         self._scheduled = asyncio.Event()
-        state.crashes.on_record = self.schedule
+        state.crashes.on_record_changed = self.schedule
 
     def schedule(self, digest: bytes, *, own: bool) -> None:
         """Have a request's record written; ``own``: this daemon sent the run that ended last."""
--- a/winchfork/router/region_exchange.py
+++ b/winchfork/router/region_exchange.py
@@ -13,70 +13,70 @@
 import msgspec
 
 from winchfork.core.zone_hubs import FleetView
-from winchfork.router.peer_messages import RegionWork, ReplicaLoadNote, ZoneUse, ZoneWork
-from winchfork.router.peer_port import PeerPort
+from winchfork.router.peer_messages import RegionWork, ReplicaLoadEntry, ZoneQuotaUse, ZoneWork
+from winchfork.router.peer_messenger import PeerMessenger
 from winchfork.router.quota_exchange import QuotaExchange
 from winchfork.router.state import RouterState
-from winchfork.router.work_totals import HeardByReplica, HeardLoads, ToldLoads
+from winchfork.router.work_totals import LoadsByReplica, ReceivedLoads, SentLoads
 
 #: Seconds between two messages to another region: some round trips, in which news of it would be
 #: no newer.
-TELL_PERIOD_S = 0.2
+SEND_INTERVAL_S = 0.2
 #: All of a region's work is told this often, and what has changed in between.
 COMPLETE_PERIOD_S = 0.5
 #: A successor speaks when the first speaker has been silent for this long.
-SPEAKER_SILENCE_S = 0.7
+REGION_HUB_SILENCE_S = 0.7
 #: Uses of quotas kept for the next message: more than the zones of a region tell in its time.
-MOST_USES = 64
+MAX_PENDING_USES = 64
 
 
 class RegionExchange:
     """This daemon's part in the exchange between regions; only speakers send anything."""
 
-    def __init__(self, state: RouterState, peers: PeerPort, quotas: QuotaExchange) -> None:
+    def __init__(self, state: RouterState, peers: PeerMessenger, quotas: QuotaExchange) -> None:
         self._state = state
         self._peers = peers
         self._quotas = quotas
-        self._regions: dict[str, HeardByReplica] = {}
-        self._told = ToldLoads()
-        self._told_s = 0.0
-        self._told_all_s = 0.0
-        self._first_speaker_heard_s = 0.0
-        self._uses: list[ZoneUse] = []
-
-    def loads(self, now_s: float) -> list[HeardLoads]:
+        self._regions: dict[str, LoadsByReplica] = {}
+        self._sent_loads = SentLoads()
+        self._sent_at_s = 0.0
+        self._complete_sent_at_s = 0.0
+        self._first_hub_received_at_s = 0.0
+        self._pending_uses: list[ZoneQuotaUse] = []
+
+    def loads(self, now_s: float) -> list[ReceivedLoads]:
         """Return what other regions are known to do."""
         return [item for region in self._regions.values() for item in region.fresh(now_s)]
 
     # Telling
 
-    def note_zone(self, message: ZoneWork) -> None:
+    def record_zone(self, message: ZoneWork) -> None:
         """Keep what a zone of this region has used of the quotas, and that its hub lives."""
         view = self._peers.view
         if view.region_hubs and message.sender_id == view.region_hubs[0].member_id:
-            self._first_speaker_heard_s = self._state.clock()
+            self._first_hub_received_at_s = self._state.clock()
         if not view.is_region_hub or not view.other_region_hubs:
             return
         if message.quota is not None or message.levels is not None:
-            use = ZoneUse(message.sender_id, message.zone, message.quota, message.levels)
-            self._uses = [*self._uses[-MOST_USES + 1 :], use]
+            use = ZoneQuotaUse(message.sender_id, message.zone, message.quota, message.levels)
+            self._pending_uses = [*self._pending_uses[-MAX_PENDING_USES + 1 :], use]
 
-    def speak(self, region_loads: Callable[[], tuple[ReplicaLoadNote, ...]], now_s: float) -> None:
+    def send_region_work(self, region_loads: Callable[[], tuple[ReplicaLoadEntry, ...]], now_s: float) -> None:
         """Tell other regions of this one, where this daemon is the one to do so and it is time.
 
         ``region_loads`` adds up the work of the region.
         """
         view = self._peers.view
-        if not view.other_region_hubs or now_s - self._told_s < TELL_PERIOD_S:
+        if not view.other_region_hubs or now_s - self._sent_at_s < SEND_INTERVAL_S:
             return
-        if not self._speaks(view, now_s):
+        if not self._is_active_hub(view, now_s):
             return
-        complete = now_s - self._told_all_s >= COMPLETE_PERIOD_S
-        loads = self._told.news(region_loads(), complete=complete)
-        uses, self._uses = tuple(self._uses), []
-        self._told_s = now_s
+        complete = now_s - self._complete_sent_at_s >= COMPLETE_PERIOD_S
+        loads = self._sent_loads.updates(region_loads(), complete=complete)
+        uses, self._pending_uses = tuple(self._pending_uses), []
+        self._sent_at_s = now_s
         if complete:
-            self._told_all_s = now_s
+            self._complete_sent_at_s = now_s
         elif not loads and not uses:
             return
         own_id = self._state.settings.node_id
@@ -84,15 +84,15 @@
         message = RegionWork(own_id, region, complete, loads, uses)
         self._peers.send_each(view.other_region_hubs, message)
 
-    def _speaks(self, view: FleetView, now_s: float) -> bool:
+    def _is_active_hub(self, view: FleetView, now_s: float) -> bool:
         if not view.is_region_hub:
             return False
         first = view.region_hubs[0].member_id == view.own.member_id
-        return first or now_s - self._first_speaker_heard_s > SPEAKER_SILENCE_S
+        return first or now_s - self._first_hub_received_at_s > REGION_HUB_SILENCE_S
 
     # Hearing
 
-    def take(self, message: RegionWork) -> None:
+    def handle_region(self, message: RegionWork) -> None:
         """Take in what another region does; from there itself, pass it on in this region."""
         now_s = self._state.clock()
         view = self._peers.view
@@ -101,7 +101,7 @@
         if view.is_region_hub and view.is_in_other_region(message.sender_id):
             relayed = msgspec.structs.replace(message, sender_id=view.own.member_id)
             self._peers.send_each((*view.same_region_hubs, *view.own_hub_peers), relayed)
-        known = self._regions.setdefault(message.region, HeardByReplica())
-        known.take(message.loads, now_s, complete=message.complete)
+        known = self._regions.setdefault(message.region, LoadsByReplica())
+        known.update(message.loads, now_s, complete=message.complete)
         for use in message.uses:
-            self._quotas.take_zone(use.sender_id, use.zone, use.quota, use.levels)
+            self._quotas.handle_zone(use.sender_id, use.zone, use.quota, use.levels)
--- a/winchfork/router/relayed_request.py
+++ b/winchfork/router/relayed_request.py
@@ -18,7 +18,7 @@
 from winchfork.router.attempt import Attempt
 from winchfork.router.outcome_recorder import OutcomeRecorder
 from winchfork.router.caller_answer import CallerAnswer
-from winchfork.router.crash_guard import MOST_ENDS_IN_A_TRY
+from winchfork.router.crash_tracker import MAX_CRASHES_PER_ATTEMPT
 from winchfork.router.attempt_planner import AttemptPlanner
 from winchfork.router.http_types import (
     CallerDisconnected,
@@ -130,7 +130,7 @@
         finally:
             timer.cancel()
             if self._charge is not None and self._run_state() is RunState.NOT_RUN:
-                self._charge.give_back()
+                self._charge.refund()
             self._record.log_done(self._run_state(), self._answer.events)
 
     @property
@@ -153,7 +153,7 @@
                 return
             outcome = await self._attempt(decision)
             if isinstance(outcome, MayHaveRun):
-                await self._crashes.settled(self._admitted.digest, self._retries.ends_at_s)
+                await self._crashes.wait_until_resolved(self._admitted.digest, self._retries.ends_at_s)
             if not self._handle_outcome(decision.replica, outcome):
                 return
 
@@ -179,11 +179,11 @@
         self._record.log_sent(decision, plan, family, self._retries.time_left_s)
         if plan.prefill_tokens:
             self._state.on_work_sent()
-        self._crashes.begin(self._admitted.digest, replica, self._retries.ends_at_s)
+        self._crashes.begin_run(self._admitted.digest, replica, self._retries.ends_at_s)
         try:
             outcome = await self.moves.run_attempt(attempt)
         finally:
-            self._crashes.end(self._admitted.digest)
+            self._crashes.end_run(self._admitted.digest)
         self._newer_weights = self._outcome_recorder.record_outcome(plan, outcome, self._record)
         return outcome
 
@@ -217,7 +217,7 @@
 
     def _handle_connect_failure(self, replica: RelayReplica, failure: Failure) -> NotRun:
         if failure.kind is FailureKind.CONNECTION_REFUSED:
-            self._crashes.note_ended(replica, CrashEvidence.PORT_CLOSED)
+            self._crashes.record_crash(replica, CrashEvidence.PORT_CLOSED)
         if failure.kind in _UNREACHABLE_KINDS:
             self._state.note_failure(replica, failure.reason, certain=True)
         return NotRun(failure.reason, sent=False)
@@ -275,7 +275,7 @@
         failed_by_replica = outcome.answer is not None and outcome.answer.head.status < 500
         others_left = self._planner.has_candidates(self._attempted)
         # A request that has ended replicas is not offered to one more by the same try.
-        ends_replicas = self._crashes.ends(self._admitted.digest) >= MOST_ENDS_IN_A_TRY
+        ends_replicas = self._crashes.crash_count(self._admitted.digest) >= MAX_CRASHES_PER_ATTEMPT
         repeatable = self._route.repeatable and not ends_replicas
         worth_it = repeatable and not failed_by_replica and others_left
         if worth_it and self._retries.try_spend(self._route.max_attempts):
--- a/winchfork/router/replica_probes.py
+++ b/winchfork/router/replica_probes.py
@@ -44,6 +44,6 @@
         connection = await self._pool.open_new(address, limit)
         if not isinstance(connection, Failure):
             self._pool.release(address, connection)
-            self._state.crashes.note_reached(replica, asked_s)
+            self._state.crashes.record_connected(replica, asked_s)
         elif connection.kind is FailureKind.CONNECTION_REFUSED:
-            self._state.crashes.note_ended(replica, CrashEvidence.PORT_CLOSED)
+            self._state.crashes.record_crash(replica, CrashEvidence.PORT_CLOSED)
--- a/winchfork/router/replica_search.py
+++ b/winchfork/router/replica_search.py
@@ -82,7 +82,7 @@
     def excluded(self) -> set[str]:
         """Return the replicas that were tried, or that another suspected request has to itself."""
         replicas = self._state.fleet.of_service(self._planner.service)
-        return self._attempted | self._crashes.taken_for(self._admitted.digest, replicas)
+        return self._attempted | self._crashes.excluded_replicas(self._admitted.digest, replicas)
 
     async def _find(self, ran: Callable[[], RunState]) -> RelayDecision | Failure | Stopped:
         loop = asyncio.get_running_loop()
--- a/winchfork/router/replica_selector.py
+++ b/winchfork/router/replica_selector.py
@@ -111,7 +111,7 @@
         """
         intervals = [
             replica.notice.limit.interval_s / replica.notice.limit.holders
-            for replica in self._state.limits.limited(service)
+            for replica in self._state.limits.limited_replicas(service)
         ]
         return min(intervals, default=None)
 
@@ -131,7 +131,7 @@
     def count_at_limit(self, service: str) -> int:
         """Return how many of a service's replicas take nothing from this daemon by their limits."""
         now_s = self._state.clock()
-        limited = self._state.limits.limited(service)
+        limited = self._state.limits.limited_replicas(service)
         return sum(replica.notice.limit.available_in_s(now_s) > 0.0 for replica in limited)
 
     def weights_expire_at_s(self, model: str, version: int | None) -> float:
--- a/winchfork/router/service.py
+++ b/winchfork/router/service.py
@@ -50,7 +50,7 @@
         state.on_silent = self._replica_silent
         state.on_zone_lost = self._zone_lost
         self._probes = ReplicaProbes(state, pool)
-        state.crashes.on_break = self._probes.schedule
+        state.crashes.on_connection_broken = self._probes.schedule
 
     # CallerHandler
 
--- a/winchfork/router/software_rollout.py
+++ b/winchfork/router/software_rollout.py
@@ -26,7 +26,7 @@
 from winchfork.router.evidence_exchange import EvidenceExchange
 from winchfork.router.leader_entry import LEADER_KEY
 from winchfork.router.leadership import Leadership
-from winchfork.router.quota_exchange import SILENCE_S, remembered_s
+from winchfork.router.quota_exchange import SILENCE_S, daemon_memory_s
 from winchfork.router.software_records import record_key, write_record
 from winchfork.router.state import RouterState
 from winchfork.stores.async_key_value import AsyncKeyValueStore, ExpectedRevision, PutItem
@@ -115,7 +115,7 @@
             return
         if self._unheard_since_s is None:
             self._unheard_since_s = now_s
-        missed_s = remembered_s(self._state.settings.bounds) - SILENCE_S
+        missed_s = daemon_memory_s(self._state.settings.bounds) - SILENCE_S
         if now_s - self._unheard_since_s >= missed_s:
             self._lost_sight_s = now_s
 
@@ -206,7 +206,7 @@
             new_answers=evidence.new_answers,
             all_answers=evidence.all_answers,
             recent_per_s=self._rates[record.service].per_s,
-            assessment=self._evidence.opinion(record.service),
+            assessment=self._evidence.assessment(record.service),
             stop_cause=self._versions.stop_cause(record),
             longest_run_s=LONG_RUN_RATIO * self._state.mean_run_s,
         )
--- a/winchfork/router/state.py
+++ b/winchfork/router/state.py
@@ -27,17 +27,17 @@
 from winchfork.errors import Failure
 from winchfork.logs import log_event
 from winchfork.router.cache_stores import CacheStores
-from winchfork.router.crash_guard import CrashGuard
-from winchfork.router.limit_book import LimitBook
+from winchfork.router.crash_tracker import CrashTracker
+from winchfork.router.limit_registry import LimitRegistry
 from winchfork.router.log_rate_limit import LogRateLimit
 from winchfork.router.metrics import RouterMetrics
-from winchfork.router.notice_book import NoticeBook
+from winchfork.router.notice_registry import NoticeRegistry
 from winchfork.router.replica_selector import ReplicaSelector
 from winchfork.router.settings import RouterSettings
 from winchfork.router.software_versions import SoftwareVersions
-from winchfork.router.standstill import StandstillWatch
+from winchfork.router.stall_detector import StallDetector
 from winchfork.router.store_eras import StoreEras
-from winchfork.router.zone_watch import ZoneWatch
+from winchfork.router.zone_outage_handler import ZoneOutageHandler
 
 #: Part of the revocation bound that is kept for a store whose watches lag and for slow clocks.
 REVOCATION_MARGIN_S = 1.15
@@ -82,7 +82,7 @@
         #: Highest fence under which a rollout leader has spoken.
         self.weights_fence = 0
         self.freshness = Freshness()
-        self.standstill = StandstillWatch()
+        self.standstill = StallDetector()
         self.store_outage = StoreOutageDetector(clock(), has_peers=bool(settings.seeds))
         self.software = SoftwareVersions(
             self.fleet,
@@ -115,14 +115,14 @@
         #: Tells this start of the process from others.
         self.life = generator.getrandbits(LIFE_BITS)
         self.reach = ZoneReachability(settings.zone)
-        self.zones = ZoneWatch(self)
+        self.zones = ZoneOutageHandler(self)
         self.choice = ReplicaSelector(self)
-        self.crashes = CrashGuard(settings.node_id, clock)
+        self.crashes = CrashTracker(settings.node_id, clock)
         self._refused_documents = LogRateLimit()
-        self.limits = LimitBook(self)
+        self.limits = LimitRegistry(self)
         #: Requests that wait for places of limited replicas, by service.
         self.place_queues: defaultdict[str, PermitQueue] = defaultdict(PermitQueue)
-        self.notices = NoticeBook(self)
+        self.notices = NoticeRegistry(self)
         self.quotas = QuotaLedger(bounds.quota, self.life)
         self._engine_speeds: defaultdict[str, EngineSpeed] = defaultdict(EngineSpeed)
         #: Seconds of a run for each token that its caller allows out, as measured lately.
@@ -162,7 +162,7 @@
     @property
     def ready(self) -> bool:
         """Whether this process wants callers."""
-        return not self.stopping and self.table is not None and self.zones.serves_on
+        return not self.stopping and self.table is not None and self.zones.can_keep_serving
 
     def choose_service(self, route: Route) -> str:
         """Return the service whose turn it is, or another part when it has no replica."""
@@ -198,7 +198,7 @@
         replica = self.fleet.install(listing)
         if known is None:
             self.notices.adopt(replica)
-            self.limits.note_listed(replica)
+            self.limits.mark_listed(replica)
 
     def note_version(self, replica: RelayReplica, model: str, version: int) -> None:
         """Record a replica's weights version; newer weights have emptied its cache."""
@@ -226,7 +226,7 @@
     def note_superseded(self, replica: RelayReplica, by: str = "") -> None:
         """Record that another incarnation answers at a replica's address, ``by`` if it said so."""
         self.fleet.record_other_answered(replica, by)
-        self.crashes.note_ended(replica, CrashEvidence.REPLACED)
+        self.crashes.record_crash(replica, CrashEvidence.REPLACED)
 
     def note_failure(self, replica: RelayReplica, reason: str, *, certain: bool = False) -> None:
         """Record a replica's failure; log when it is now left alone for a while."""
--- a/winchfork/router/store_eras.py
+++ b/winchfork/router/store_eras.py
@@ -23,7 +23,7 @@
 
     def __init__(self, metrics: RouterMetrics) -> None:
         self._metrics = metrics
-        self._unknown_headers = UnknownHeaderCounter(metrics.unknown_words, MOST_UNKNOWN_HEADERS)
+        self._unknown_headers = UnknownHeaderCounter(metrics.unknown_headers, MOST_UNKNOWN_HEADERS)
         self.newest = 0
 
     def take(self, answer: StoreAnswer) -> None:
--- a/winchfork/router/unknown_headers.py
+++ b/winchfork/router/unknown_headers.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from winchfork.router.metrics import CounterChild, Labelled
+from winchfork.router.metrics import CounterChild, LabelledMetric
 
 
 class UnknownHeaderCounter:
     """Counts them by name; of so many names each is told once, and more are not told apart."""
 
-    def __init__(self, counts: Labelled[CounterChild], max_names: int) -> None:
+    def __init__(self, counts: LabelledMetric[CounterChild], max_names: int) -> None:
         self._counts = counts
         self._max_names = max_names
         self._names: set[str] = set()
--- a/winchfork/router/weights_notes.py
+++ b/winchfork/router/weights_announcer.py
@@ -11,31 +11,31 @@
 from collections.abc import Callable
 
 from winchfork.core.relay_replica import RelayReplica
-from winchfork.router.peer_messages import WeightsNote
+from winchfork.router.peer_messages import WeightsEntry
 
 #: Peers are told to send a replica nothing for this long at a time; renewed while under order.
 HOLD_S = 1.5
 #: The same once a replica has taken an order, which it carries out whatever becomes of its leader:
 #: as long as loads take that wait for long answers.
-HOLD_TAKEN_S = 4.0
+ORDERED_HOLD_S = 4.0
 #: Peers are asked for no long work on the replicas that come next for this long at a time.
 NEXT_S = 1.0
 #: Notes that arise within this time share a message.
-COLLECT_S = 0.005
+BATCH_WINDOW_S = 0.005
 #: The same for renewals, which are in no hurry.
-RENEWAL_COLLECT_S = 0.25
+RENEWAL_BATCH_WINDOW_S = 0.25
 
 #: Tells every member: the leader's fence and the notes.
-TellWeights = Callable[[int, tuple[WeightsNote, ...]], None]
+BroadcastWeights = Callable[[int, tuple[WeightsEntry, ...]], None]
 
 
-class WeightsNotes:
+class WeightsAnnouncer:
     """What has been told of each replica, and what is about to be."""
 
-    def __init__(self, tell: TellWeights, clock: Callable[[], float]) -> None:
-        self._tell = tell
+    def __init__(self, broadcast: BroadcastWeights, clock: Callable[[], float]) -> None:
+        self._broadcast = broadcast
         self._clock = clock
-        self._pending: dict[int, WeightsNote] = {}
+        self._pending: dict[int, WeightsEntry] = {}
         self._fence = 0
         self._flush_at_s = 0.0
         self._timer: asyncio.TimerHandle | None = None
@@ -47,23 +47,23 @@
     ) -> None:
         """Keep new work away from a replica; tells nothing while a hold has long to run."""
         now_s = self._clock()
-        hold_s = HOLD_TAKEN_S if has_order else HOLD_S
+        hold_s = ORDERED_HOLD_S if has_order else HOLD_S
         left_s = self._held_until_s.get(replica.order_hash, 0.0) - now_s
         if left_s > hold_s / 2:
             return
         self._held_until_s[replica.order_hash] = now_s + hold_s
-        renewal = left_s > RENEWAL_COLLECT_S
-        self._add(replica, model, fence, hold_s, 0.0, RENEWAL_COLLECT_S if renewal else COLLECT_S)
+        renewal = left_s > RENEWAL_BATCH_WINDOW_S
+        self._enqueue(replica, model, fence, hold_s, 0.0, RENEWAL_BATCH_WINDOW_S if renewal else BATCH_WINDOW_S)
 
     def release(self, replica: RelayReplica, model: str, fence: int) -> None:
         """End a hold and tell the replica's version."""
         self._held_until_s.pop(replica.order_hash, None)
-        self._add(replica, model, fence, 0.0, 0.0, COLLECT_S)
+        self._enqueue(replica, model, fence, 0.0, 0.0, BATCH_WINDOW_S)
 
     def prepare(self, replica: RelayReplica, model: str, fence: int) -> None:
         """Ask for no long work on a replica that comes next."""
         if replica.load_upcoming_until_s - self._clock() < NEXT_S / 2:
-            self._add(replica, model, fence, 0.0, NEXT_S, COLLECT_S)
+            self._enqueue(replica, model, fence, 0.0, NEXT_S, BATCH_WINDOW_S)
 
     def flush(self) -> None:
         """Tell what has been collected."""
@@ -73,9 +73,9 @@
         if self._pending:
             notes = tuple(self._pending.values())
             self._pending = {}
-            self._tell(self._fence, notes)
+            self._broadcast(self._fence, notes)
 
-    def _add(
+    def _enqueue(
         self,
         replica: RelayReplica,
         model: str,
@@ -87,7 +87,7 @@
         if fence != self._fence:
             self.flush()
             self._fence = fence
-        self._pending[replica.order_hash] = WeightsNote(
+        self._pending[replica.order_hash] = WeightsEntry(
             replica.replica_id,
             replica.order_hash,
             model,
--- a/winchfork/router/version_news.py
+++ b/winchfork/router/weights_exchange.py
@@ -7,71 +7,71 @@
 from winchfork.core.zone_hubs import FleetView
 from winchfork.logs import log_event
 from winchfork.router.peer_messages import (
-    NamedNote,
-    NamedVersions,
-    WeightsNote,
+    VersionAgeEntry,
+    VersionAges,
+    WeightsEntry,
     WeightsProgress,
 )
-from winchfork.router.peer_port import PeerPort
+from winchfork.router.peer_messenger import PeerMessenger
 from winchfork.router.state import RouterState
 
 
-class VersionNews:
+class WeightsExchange:
     """Takes the rollout leader's notes in, and greets daemons that have just started."""
 
-    def __init__(self, state: RouterState, peers: PeerPort) -> None:
+    def __init__(self, state: RouterState, peers: PeerMessenger) -> None:
         self._state = state
         self._peers = peers
         self._known_members: set[tuple[str, int]] = set()
-        self._greeted_view: FleetView | None = None
+        self._last_view: FleetView | None = None
 
-    def tell_weights(self, fence: int, notes: tuple[WeightsNote, ...]) -> None:
+    def broadcast_weights(self, fence: int, entries: tuple[WeightsEntry, ...]) -> None:
         """Tell every member of the replicas under order; apply it here as well."""
-        message = WeightsProgress(self._state.settings.node_id, fence, notes)
-        self.take_weights(message)
-        self._peers.tell_everyone(message)
+        message = WeightsProgress(self._state.settings.node_id, fence, entries)
+        self.handle_weights(message)
+        self._peers.broadcast(message)
 
-    def take_weights(self, message: WeightsProgress) -> None:
+    def handle_weights(self, message: WeightsProgress) -> None:
         """Apply the notes of the newest leader."""
         if message.fence < self._state.weights_fence:
             return
         self._state.weights_fence = message.fence
-        for note in message.notes:
+        for note in message.entries:
             replica = self._state.fleet.get(note.replica_id)
             if replica is not None and replica.order_hash == note.incarnation:
                 self._apply(replica, note, message)
 
-    def _apply(self, replica: RelayReplica, note: WeightsNote, message: WeightsProgress) -> None:
+    def _apply(self, replica: RelayReplica, entry: WeightsEntry, message: WeightsProgress) -> None:
         now_s = self._state.clock()
         was_held = now_s < replica.loading_until_s
-        known = replica.versions.get(note.model, 0)
-        replica.loading_until_s = now_s + note.held_ms / 1000.0
-        replica.load_upcoming_until_s = now_s + note.next_ms / 1000.0
-        self._state.note_version(replica, note.model, note.version)
-        if note.held_ms > 0 and not was_held:
+        known = replica.versions.get(entry.model, 0)
+        replica.loading_until_s = now_s + entry.held_ms / 1000.0
+        replica.load_upcoming_until_s = now_s + entry.next_ms / 1000.0
+        self._state.note_version(replica, entry.model, entry.version)
+        if entry.held_ms > 0 and not was_held:
             self._state.on_held(replica)
-        if was_held == (note.held_ms > 0) and note.version <= known:
+        if was_held == (entry.held_ms > 0) and entry.version <= known:
             return
         log_event(
             "replica_weights",
-            replica=note.replica_id,
-            model=note.model,
-            version=note.version,
-            held_ms=note.held_ms,
-            next_ms=note.next_ms,
+            replica=entry.replica_id,
+            model=entry.model,
+            version=entry.version,
+            held_ms=entry.held_ms,
+            next_ms=entry.next_ms,
             fence=message.fence,
             told_by=message.sender_id,
         )
 
-    def greet_newcomers(self, now_s: float) -> None:
+    def send_version_ages(self, now_s: float) -> None:
         """Tell members seen for the first time how long ago each version was named.
 
         In a large fleet the hubs greet their own zone and each other.
         """
         view = self._peers.view
-        if view is self._greeted_view:
+        if view is self._last_view:
             return
-        self._greeted_view = view
+        self._last_view = view
         greeted = view.others if view.is_full_mesh else []
         if not view.is_full_mesh and view.is_hub:
             greeted = [*view.zone_peers, *view.other_zone_hubs]
@@ -79,20 +79,20 @@
         newcomers = [members[key] for key in members.keys() - self._known_members]
         self._known_members = set(members)
         notes = tuple(
-            NamedNote(model, named.version, int((now_s - named.received_at_s) * 1000))
+            VersionAgeEntry(model, named.version, int((now_s - named.received_at_s) * 1000))
             for model, history in self._state.versions.items()
             for named in history.versions
             if not named.assumed
         )
         if notes:
-            self._peers.send_each(newcomers, NamedVersions(notes))
+            self._peers.send_each(newcomers, VersionAges(notes))
 
-    def take_named(self, message: NamedVersions) -> None:
+    def handle_version_ages(self, message: VersionAges) -> None:
         """Take a peer's word on when versions were named.
 
         Its ages are of when it was sent; one that waited for this process to run is older.
         """
         now_s = self._state.standstill.earliest_arrival_s(self._state.clock())
-        for note in message.notes:
+        for note in message.entries:
             history = self._state.versions.setdefault(note.model, VersionHistory())
             history.update_received_at(note.version, now_s - note.age_ms / 1000.0)
--- a/winchfork/router/weights_rollout.py
+++ b/winchfork/router/weights_rollout.py
@@ -25,8 +25,8 @@
 from winchfork.router.peers import PeerGroup
 from winchfork.router.replica_selector import START_MARGIN_S
 from winchfork.router.state import RouterState
-from winchfork.router.version_news import VersionNews
-from winchfork.router.weights_notes import WeightsNotes
+from winchfork.router.weights_exchange import WeightsExchange
+from winchfork.router.weights_announcer import WeightsAnnouncer
 
 PASS_PERIOD_S = 0.1
 #: Pause between reports while a replica finishes its requests and loads.
@@ -56,7 +56,7 @@
         leadership: Leadership,
         control: ReplicaControl,
         peers: PeerGroup,
-        news: VersionNews,
+        news: WeightsExchange,
     ) -> None:
         self._state = state
         self._leadership = leadership
@@ -65,7 +65,7 @@
         self._under_order: dict[str, asyncio.Task[None]] = {}
         self._stopping = False
         self._pace = LoadPace(state.settings.bounds.weights_s)
-        self._notes = WeightsNotes(news.tell_weights, state.clock)
+        self._notes = WeightsAnnouncer(news.broadcast_weights, state.clock)
 
     async def run(self) -> None:
         """Look for work until cancelled."""
@@ -86,7 +86,7 @@
         self._notes.flush()
         resignation = await self._leadership.resign()
         if resignation is not None:
-            self._peers.tell_everyone(resignation)
+            self._peers.broadcast(resignation)
 
     def orders_under_way(self) -> list[asyncio.Task[None]]:
         """Return the tasks that bring replicas to a version."""
@@ -213,7 +213,7 @@
             replica.listing.address,
             order,
             self._leadership.may_order,
-            functools.partial(self._state.notices.note, replica),
+            functools.partial(self._state.notices.record, replica),
         )
         log_event(
             "weights_ordered",
@@ -234,7 +234,7 @@
         return outcome in (OrderOutcome.TAKEN, OrderOutcome.ALREADY_SO)
 
     async def _report(self, replica: RelayReplica) -> ReplicaReport | Failure:
-        on_notice = functools.partial(self._state.notices.note, replica)
+        on_notice = functools.partial(self._state.notices.record, replica)
         return await self._control.report(replica.listing.address, on_notice)
 
     async def _was_taken(self, replica: RelayReplica, before: ReplicaReport) -> bool:
--- a/winchfork/router/work_exchange.py
+++ b/winchfork/router/work_exchange.py
@@ -17,33 +17,33 @@
 from winchfork.router.peer_messages import (
     Activity,
     FleetWork,
-    KeptNote,
+    CachedPartsEntry,
     RegionWork,
-    ReplicaLoadNote,
+    ReplicaLoadEntry,
     ZoneWork,
 )
-from winchfork.router.peer_port import PeerPort
+from winchfork.router.peer_messenger import PeerMessenger
 from winchfork.router.quota_exchange import QuotaExchange
 from winchfork.router.region_exchange import RegionExchange
 from winchfork.router.state import RouterState
 from winchfork.router.work_totals import (
     NO_WORK,
-    HeardByReplica,
-    HeardLoads,
-    ToldLoads,
-    add_up,
+    LoadsByReplica,
+    ReceivedLoads,
+    SentLoads,
+    sum_loads,
     busy_steps,
-    notes_of,
+    load_entries,
 )
 
 #: In a large fleet the hubs hear of new work within this time.
-TELL_SOON_S = 0.01
+EARLY_SEND_DELAY_S = 0.01
 #: Work that goes on unchanged is told again after this long: expected ends move on.
-RETELL_S = 0.5
+RESEND_INTERVAL_S = 0.5
 #: A hub tells its zone the work on every replica this often, and what has changed in between.
 COMPLETE_PERIOD_S = 0.5
 #: What was heard is added up when it is read; without readers this often, so that it expires.
-ADD_UP_PERIOD_S = 0.2
+AGGREGATION_INTERVAL_S = 0.2
 #: A hub that is not the first of its zone speaks when the first has been silent for this long.
 HUB_SILENCE_S = 0.7
 #: Seconds of silence after which a zone may be out of reach in a small fleet, whose daemons say
@@ -52,8 +52,8 @@
 #: Seconds without a word from any other zone after which this one takes itself to be cut off.
 ISOLATED_SILENCE_S = 1.2
 #: Parts told in one message by a daemon, and by a hub for its zone.
-MOST_KEPT = 200
-MOST_KEPT_OF_ZONE = 1_000
+MAX_CACHED_PARTS = 200
+MAX_ZONE_CACHED_PARTS = 1_000
 
 
 class WorkExchange:
@@ -62,7 +62,7 @@
     def __init__(
         self,
         state: RouterState,
-        peers: PeerPort,
+        peers: PeerMessenger,
         call_later: Callable[[float, Callable[[], None]], object],
         quotas: QuotaExchange,
         regions: RegionExchange,
@@ -72,65 +72,65 @@
         self._regions = regions
         self._peers = peers
         self._call_later = call_later
-        self._told_soon = False
+        self._send_scheduled = False
         self._own_id = state.settings.node_id
-        self._told: tuple[ReplicaLoadNote, ...] = ()
-        self._told_at_s = 0.0
+        self._sent_loads: tuple[ReplicaLoadEntry, ...] = ()
+        self._sent_at_s = 0.0
         #: What this hub has told its zone, and when it last told everything.
-        self._spoken = ToldLoads()
-        self._spoken_all_s = 0.0
-        self._spoken_unreachable: tuple[str, ...] = ()
-        self._activities: dict[str, HeardLoads] = {}
-        self._zones: dict[str, HeardLoads] = {}
+        self._hub_sent_loads = SentLoads()
+        self._complete_sent_at_s = 0.0
+        self._sent_unreachable: tuple[str, ...] = ()
+        self._activities: dict[str, ReceivedLoads] = {}
+        self._zones: dict[str, ReceivedLoads] = {}
         #: What the hubs have told of each replica.
-        self._fleet = HeardByReplica()
-        self._hub_heard_s = 0.0
+        self._fleet = LoadsByReplica()
+        self._hub_received_at_s = 0.0
         #: Whether something was heard since the work on each replica was added up, and when it was.
-        self._is_news = False
-        self._added_up_s = 0.0
+        self._has_updates = False
+        self._aggregated_at_s = 0.0
         state.fleet.refresh = self.refresh
         #: Parts to pass on, by replica: those of this zone, and those heard from other zones.
-        self._zone_kept = CachedPartsBacklog()
-        self._far_kept = CachedPartsBacklog()
+        self._zone_cached = CachedPartsBacklog()
+        self._other_zones_cached = CachedPartsBacklog()
 
     def tick(self, now_s: float) -> None:
         """Tell what is news, and add up what was heard."""
         view = self._peers.view
         loads = self._own_loads(now_s)
-        kept = _take(self._state.kept_news, MOST_KEPT)
-        self._told_soon = False
+        kept = _pop_from_backlog(self._state.kept_news, MAX_CACHED_PARTS)
+        self._send_scheduled = False
         self._quotas.tick(now_s)
         quota = self._quotas.own_report(now_s)
         correction = self._quotas.correction(now_s)
-        is_old = bool(loads) and now_s - self._told_at_s > RETELL_S
-        is_silent = view.is_full_mesh and now_s - self._told_at_s > RETELL_S
+        is_old = bool(loads) and now_s - self._sent_at_s > RESEND_INTERVAL_S
+        is_silent = view.is_full_mesh and now_s - self._sent_at_s > RESEND_INTERVAL_S
         is_asked = bool(quota or correction or is_silent)
-        if kept or is_old or is_asked or _work_of(loads) != _work_of(self._told):
-            self._told = loads
-            self._told_at_s = now_s
-            self._is_news = True
+        if kept or is_old or is_asked or _comparable_work(loads) != _comparable_work(self._sent_loads):
+            self._sent_loads = loads
+            self._sent_at_s = now_s
+            self._has_updates = True
             receivers = view.others if view.is_full_mesh else view.own_hub_peers
             self._send(receivers, Activity(self._own_id, loads, kept, quota, correction))
-        self._judge_reach(view, now_s)
+        self._update_reachability(view, now_s)
         if not view.is_full_mesh and view.is_hub:
-            _add(self._zone_kept, kept)
-            if self._speaks(view, now_s):
-                self._speak(view, now_s)
-                self._regions.speak(lambda: self._region_loads(now_s), now_s)
-        if now_s - self._added_up_s >= ADD_UP_PERIOD_S:
-            self._add_up(now_s)
+            _add_to_backlog(self._zone_cached, kept)
+            if self._is_active_hub(view, now_s):
+                self._send_as_hub(view, now_s)
+                self._regions.send_region_work(lambda: self._region_loads(now_s), now_s)
+        if now_s - self._aggregated_at_s >= AGGREGATION_INTERVAL_S:
+            self._aggregate(now_s)
 
     # Telling
 
-    def tell_soon(self) -> None:
+    def send_soon(self) -> None:
         """Work has changed: tell the hubs before the next tick, other changes with it."""
-        if not self._told_soon and not self._peers.view.is_full_mesh:
-            self._told_soon = True
-            self._call_later(TELL_SOON_S, lambda: self.tick(self._state.clock()))
+        if not self._send_scheduled and not self._peers.view.is_full_mesh:
+            self._send_scheduled = True
+            self._call_later(EARLY_SEND_DELAY_S, lambda: self.tick(self._state.clock()))
 
-    def _own_loads(self, now_s: float) -> tuple[ReplicaLoadNote, ...]:
+    def _own_loads(self, now_s: float) -> tuple[ReplicaLoadEntry, ...]:
         return tuple(
-            ReplicaLoadNote(
+            ReplicaLoadEntry(
                 replica.order_hash,
                 replica.in_flight,
                 replica.pending_prefill_tokens,
@@ -141,30 +141,30 @@
             if replica.in_flight
         )
 
-    def _judge_reach(self, view: FleetView, now_s: float) -> None:
+    def _update_reachability(self, view: FleetView, now_s: float) -> None:
         """Find out which zones are out of reach: hubs for their zone, in a small fleet each."""
         if view.is_full_mesh or view.is_hub:
             silence_s = DIRECT_SILENCE_S if view.is_full_mesh else SILENCE_TIMEOUT_S
             reach = self._state.reach
-            self._state.zones.take_reach(
+            self._state.zones.update_reachability(
                 reach.detect_unreachable(now_s, silence_s),
                 is_isolated=reach.detect_isolated(now_s, ISOLATED_SILENCE_S),
             )
 
-    def _speaks(self, view: FleetView, now_s: float) -> bool:
+    def _is_active_hub(self, view: FleetView, now_s: float) -> bool:
         """Whether this hub speaks for its zone: the first does, unless it has fallen silent."""
         first = view.own_hubs[0].member_id == self._own_id
-        return first or now_s - self._hub_heard_s > HUB_SILENCE_S
+        return first or now_s - self._hub_received_at_s > HUB_SILENCE_S
 
-    def _speak(self, view: FleetView, now_s: float) -> None:
+    def _send_as_hub(self, view: FleetView, now_s: float) -> None:
         """Tell other zones of this one, other regions of this one, and this zone of all."""
         told = self._zone_loads(now_s)
-        zone_kept = _take(self._zone_kept, MOST_KEPT_OF_ZONE)
-        far_kept = _take(self._far_kept, MOST_KEPT_OF_ZONE)
-        complete = now_s - self._spoken_all_s > COMPLETE_PERIOD_S
+        zone_kept = _pop_from_backlog(self._zone_cached, MAX_ZONE_CACHED_PARTS)
+        far_kept = _pop_from_backlog(self._other_zones_cached, MAX_ZONE_CACHED_PARTS)
+        complete = now_s - self._complete_sent_at_s > COMPLETE_PERIOD_S
         heard = [*self._fresh(self._zones, now_s), *self._regions.loads(now_s)]
-        fleet = notes_of(add_up([HeardLoads(now_s, told), *heard]), now_s)
-        loads = self._spoken.news(fleet, complete=complete)
+        fleet = load_entries(sum_loads([ReceivedLoads(now_s, told), *heard]), now_s)
+        loads = self._hub_sent_loads.updates(fleet, complete=complete)
         quota = self._quotas.zone_report(now_s)
         levels = self._quotas.levels(now_s, complete=complete)
         unreachable = tuple(sorted(self._state.reach.unreachable(now_s)))
@@ -177,119 +177,119 @@
             unreachable,
             self._state.reach.is_isolated(now_s),
         )
-        is_news = bool(loads or message.kept or unreachable != self._spoken_unreachable)
+        is_news = bool(loads or message.cached or unreachable != self._sent_unreachable)
         if complete:
-            self._spoken_all_s = now_s
+            self._complete_sent_at_s = now_s
         elif not is_news and quota is None:
             return
-        self._spoken_unreachable = unreachable
+        self._sent_unreachable = unreachable
         own_zone = self._state.settings.zone
         far_levels = levels if complete else None
         zone_work = ZoneWork(self._own_id, own_zone, told, zone_kept, quota, far_levels)
         self._send(view.same_region_hubs, zone_work)
         self._send(view.zone_peers, message)
-        self._regions.note_zone(zone_work)
+        self._regions.record_zone(zone_work)
 
-    def _zone_loads(self, now_s: float) -> tuple[ReplicaLoadNote, ...]:
-        own = HeardLoads(now_s, self._told)
-        return notes_of(add_up([own, *self._fresh(self._activities, now_s)]), now_s)
+    def _zone_loads(self, now_s: float) -> tuple[ReplicaLoadEntry, ...]:
+        own = ReceivedLoads(now_s, self._sent_loads)
+        return load_entries(sum_loads([own, *self._fresh(self._activities, now_s)]), now_s)
 
-    def _region_loads(self, now_s: float) -> tuple[ReplicaLoadNote, ...]:
-        own_zone = HeardLoads(now_s, self._zone_loads(now_s))
-        return notes_of(add_up([own_zone, *self._fresh(self._zones, now_s)]), now_s)
+    def _region_loads(self, now_s: float) -> tuple[ReplicaLoadEntry, ...]:
+        own_zone = ReceivedLoads(now_s, self._zone_loads(now_s))
+        return load_entries(sum_loads([own_zone, *self._fresh(self._zones, now_s)]), now_s)
 
     def _send(self, receivers: Iterable[Member], message: Activity | ZoneWork | FleetWork) -> None:
         self._peers.send_each(receivers, message)
 
     # Hearing
 
-    def take_activity(self, message: Activity) -> None:
+    def handle_activity(self, message: Activity) -> None:
         """Take in what one daemon does."""
         now_s = self._state.clock()
-        self._note_heard(message.sender_id, now_s)
-        self._activities[message.sender_id] = HeardLoads(now_s, message.loads)
-        self._note_kept(message.kept)
-        self._quotas.take_activity(message.sender_id, message.quota, message.correction)
+        self._mark_zone_reached(message.sender_id, now_s)
+        self._activities[message.sender_id] = ReceivedLoads(now_s, message.loads)
+        self._record_cached(message.cached)
+        self._quotas.handle_activity(message.sender_id, message.quota, message.correction)
         if self._peers.view.is_hub:
-            _add(self._zone_kept, message.kept)
-        self._is_news = True
+            _add_to_backlog(self._zone_cached, message.cached)
+        self._has_updates = True
 
-    def take_zone(self, message: ZoneWork) -> None:
+    def handle_zone(self, message: ZoneWork) -> None:
         """Take in what another zone does."""
         now_s = self._state.clock()
-        self._zones[message.zone] = HeardLoads(now_s, message.loads)
+        self._zones[message.zone] = ReceivedLoads(now_s, message.loads)
         self._state.reach.record_message(message.zone, now_s)
-        self._regions.note_zone(message)
-        self._note_kept(message.kept)
-        self._quotas.take_zone(message.sender_id, message.zone, message.quota, message.levels)
-        _add(self._far_kept, message.kept)
-        self._is_news = True
+        self._regions.record_zone(message)
+        self._record_cached(message.cached)
+        self._quotas.handle_zone(message.sender_id, message.zone, message.quota, message.levels)
+        _add_to_backlog(self._other_zones_cached, message.cached)
+        self._has_updates = True
 
-    def take_region(self, message: RegionWork) -> None:
+    def handle_region(self, message: RegionWork) -> None:
         """Take in what another region does."""
-        self._regions.take(message)
+        self._regions.handle_region(message)
         now_s = self._state.clock()
         for zone in self._peers.view.hubs:
             if self._state.settings.regions.region_of(zone) == message.region:
                 self._state.reach.record_message(zone, now_s)
-        self._is_news = True
+        self._has_updates = True
 
-    def _note_heard(self, sender_id: str, now_s: float) -> None:
+    def _mark_zone_reached(self, sender_id: str, now_s: float) -> None:
         """In a small fleet every daemon hears every other."""
         if self._peers.view.is_full_mesh:
             for member in self._peers.view.members:
                 if member.member_id == sender_id:
                     self._state.reach.record_message(member.zone, now_s)
 
-    def take_fleet(self, message: FleetWork) -> None:
+    def handle_fleet(self, message: FleetWork) -> None:
         """Take in what all daemons do; what the speaking hub has told, another need not."""
         now_s = self._state.clock()
-        self._hub_heard_s = now_s
-        self._fleet.take(message.loads, now_s, complete=message.complete)
-        self._note_kept(message.kept)
+        self._hub_received_at_s = now_s
+        self._fleet.update(message.loads, now_s, complete=message.complete)
+        self._record_cached(message.cached)
         if message.levels is not None:
-            self._quotas.take_fleet(message.levels)
+            self._quotas.handle_fleet(message.levels)
         if not self._peers.view.is_hub:
-            self._state.zones.take_reach(message.unreachable, is_isolated=message.is_isolated)
+            self._state.zones.update_reachability(message.unreachable_zones, is_isolated=message.is_isolated)
         if self._peers.view.is_hub:
-            for told in message.kept:
-                self._zone_kept.discard(told.replica_hash, told.parts)
-                self._far_kept.discard(told.replica_hash, told.parts)
-        self._is_news = True
+            for told in message.cached:
+                self._zone_cached.discard(told.replica_hash, told.parts)
+                self._other_zones_cached.discard(told.replica_hash, told.parts)
+        self._has_updates = True
 
-    def _note_kept(self, notes: Iterable[KeptNote]) -> None:
-        for note in notes:
+    def _record_cached(self, entries: Iterable[CachedPartsEntry]) -> None:
+        for note in entries:
             self._state.note_peer_kept(note.replica_hash, note.parts)
 
-    def _fresh(self, heard: dict[str, HeardLoads], now_s: float) -> list[HeardLoads]:
-        for sender in [key for key, item in heard.items() if item.is_old(now_s)]:
-            del heard[sender]
-        return list(heard.values())
+    def _fresh(self, received: dict[str, ReceivedLoads], now_s: float) -> list[ReceivedLoads]:
+        for sender in [key for key, item in received.items() if item.is_expired(now_s)]:
+            del received[sender]
+        return list(received.values())
 
     def refresh(self) -> None:
         """Add up what was heard since the last time: a reader is about to look at the replicas."""
-        if self._is_news:
-            self._add_up(self._state.clock())
+        if self._has_updates:
+            self._aggregate(self._state.clock())
 
-    def _add_up(self, now_s: float) -> None:
+    def _aggregate(self, now_s: float) -> None:
         """Set what peers have given each replica: everything heard, less this daemon's own."""
-        self._is_news = False
-        self._added_up_s = now_s
+        self._has_updates = False
+        self._aggregated_at_s = now_s
         view = self._peers.view
-        own: dict[int, ReplicaLoadNote] = {}
+        own: dict[int, ReplicaLoadEntry] = {}
         if view.is_full_mesh or view.is_hub:
             heard = self._fresh(self._activities, now_s)
             if not view.is_full_mesh:
                 heard += [*self._fresh(self._zones, now_s), *self._regions.loads(now_s)]
         else:
             heard = self._fleet.fresh(now_s)
-            own = {note.replica_hash: note for note in self._told} if heard else {}
-        totals = add_up(heard)
+            own = {note.replica_hash: note for note in self._sent_loads} if heard else {}
+        totals = sum_loads(heard)
         for replica in self._state.fleet.replicas():
             work = totals.get(replica.order_hash, NO_WORK)
             told = own.get(replica.order_hash)
             in_flight = work.in_flight - (told.in_flight if told else 0)
-            unread = work.unread_tokens - (told.unread_tokens if told else 0)
+            unread = work.pending_prefill_tokens - (told.pending_prefill_tokens if told else 0)
             memory = work.memory_tokens - (told.memory_tokens if told else 0)
             replica.peer_in_flight = max(0, in_flight)
             replica.peer_pending_prefill_tokens = max(0, unread)
@@ -297,15 +297,15 @@
             replica.peer_busy_until_s = work.busy_until_s
 
 
-def _work_of(loads: tuple[ReplicaLoadNote, ...]) -> list[tuple[int, int, int]]:
+def _comparable_work(loads: tuple[ReplicaLoadEntry, ...]) -> list[tuple[int, int, int]]:
     """Return what makes loads news: not the expected ends, which move on by themselves."""
-    return [(note.replica_hash, note.in_flight, note.unread_tokens) for note in loads]
+    return [(note.replica_hash, note.in_flight, note.pending_prefill_tokens) for note in loads]
 
 
-def _add(backlog: CachedPartsBacklog, notes: Iterable[KeptNote]) -> None:
-    for note in notes:
+def _add_to_backlog(backlog: CachedPartsBacklog, entries: Iterable[CachedPartsEntry]) -> None:
+    for note in entries:
         backlog.add(note.replica_hash, note.parts)
 
 
-def _take(backlog: CachedPartsBacklog, most: int) -> tuple[KeptNote, ...]:
-    return tuple(KeptNote(replica_hash, keys) for replica_hash, keys in backlog.pop(most))
+def _pop_from_backlog(backlog: CachedPartsBacklog, max_parts: int) -> tuple[CachedPartsEntry, ...]:
+    return tuple(CachedPartsEntry(replica_hash, keys) for replica_hash, keys in backlog.pop(max_parts))
--- a/winchfork/router/zone_watch.py
+++ b/winchfork/router/zone_outage_handler.py
@@ -15,14 +15,14 @@
 ISOLATED_AGE_S = 1.5
 
 
-class ZoneWatch:
+class ZoneOutageHandler:
     """Acts on what :class:`winchfork.core.zone_reachability.ZoneReach` finds."""
 
     def __init__(self, state: RouterState) -> None:
         self._state = state
 
     @property
-    def serves_on(self) -> bool:
+    def can_keep_serving(self) -> bool:
         """Whether keys can be checked, and will be when callers that are sent here now arrive.
 
         A zone that is cut off from all others and from the store cannot check keys for much longer.
@@ -36,7 +36,7 @@
         expiring = self._state.freshness.age_s(now_s) > ISOLATED_AGE_S
         return not (expiring and self._state.reach.is_isolated(now_s))
 
-    def take_reach(self, zones: Iterable[str], *, is_isolated: bool) -> None:
+    def update_reachability(self, zones: Iterable[str], *, is_isolated: bool) -> None:
         """Take in which zones cannot be reached; those that can be again start afresh."""
         now_s = self._state.clock()
         before = self._state.reach.unreachable(now_s)
@@ -46,9 +46,9 @@
             self._state.on_zone_lost(zone)
         for zone in sorted(before - self._state.reach.unreachable(now_s)):
             log_event("zone_regained", zone=zone)
-            self._forgive(zone, now_s)
+            self._clear_ejections(zone, now_s)
 
-    def _forgive(self, zone: str, now_s: float) -> None:
+    def _clear_ejections(self, zone: str, now_s: float) -> None:
         """Use the replicas of a zone that is back at once: they failed because of the cut."""
         for replica in self._state.fleet.replicas():
             if replica.listing.zone == zone and replica.ejected_until_s > now_s:
