--- a/winchfork/router/process.py
+++ b/winchfork/router/process.py
@@ -41,21 +41,21 @@
 from winchfork.stores.async_key_value import AsyncKeyValueStore, OnStoreAnswer
 
 SWEEP_PERIOD_S = 0.5
-LOG_PERIOD_S = 0.1
+LOG_FLUSH_PERIOD_S = 0.1
 #: Pause before a duty that has ended by surprise begins again.
-DUTY_PAUSE_S = 0.2
+DUTY_RESTART_PAUSE_S = 0.2
 #: After a stop is asked for, callers still arrive until the entry has noticed twice.
-ENTRY_NOTICE_S = 2.3
+LOAD_BALANCER_DRAIN_S = 2.3
 #: Grace time that is left unused, for the way out.
 STOP_MARGIN_S = 0.5
 _BACKLOG = 1024
 _JSON_FREE_TEXT = b"text/plain; charset=utf-8"
 
 
-class RouterParts(msgspec.Struct, frozen=True):
+class RouterAdapters(msgspec.Struct, frozen=True):
     """What a deployment supplies: its header names, its documents, its store."""
 
-    dialect: HeaderCodec
+    header_codec: HeaderCodec
     documents: DocumentReader
     status: StatusWriter
     make_store: Callable[[PooledHttpClient, str, OnStoreAnswer], AsyncKeyValueStore]
@@ -71,7 +71,7 @@
     def __init__(
         self,
         settings: RouterSettings,
-        parts: RouterParts,
+        adapters: RouterAdapters,
         read_settings: ReadSettings,
         log_lines_dropped: Callable[[], int] = lambda: 0,
     ) -> None:
@@ -83,13 +83,13 @@
         self._read_settings = read_settings
         self._log_lines_dropped = log_lines_dropped
         self.state = RouterState(settings, loop.time, generator)
-        self._pool = ConnectionPool()
+        self._replica_pool = ConnectionPool()
         self._call_pool = ConnectionPool()
-        self._calls = PooledHttpClient(
+        self._http_client = PooledHttpClient(
             self._call_pool, lambda label: self.state.metrics.calls.labels(label).inc()
         )
-        self.service = RouterService(self.state, self._pool, parts.dialect)
-        store = parts.make_store(self._calls, settings.store_address, self.state.eras.take)
+        self.service = RouterService(self.state, self._replica_pool, adapters.header_codec)
+        store = adapters.make_store(self._http_client, settings.store_address, self.state.eras.handle_answer)
         self._peers = PeerGroup(self.state, generator)
         self._peers.store_delay_s = lambda: self._call_pool.min_connect_s.get(settings.store_address)
         self._leadership = Leadership(
@@ -100,30 +100,30 @@
             generator,
             settings.store_min_lease_s,
         )
-        self._sync = StoreSync(self.state, store, parts.documents, self._leadership, generator)
-        control = parts.make_control(self._calls)
+        self._sync = StoreSync(self.state, store, adapters.documents, self._leadership, generator)
+        control = adapters.make_control(self._http_client)
         connected = connect_peers(self.state, self._peers, self._sync, self._leadership)
         self._weights_rollout = WeightsRollout(
             self.state, self._leadership, control, self._peers, connected.weights
         )
         self._refusals = RefusalWriter(self.state, store, generator)
         self._software_rollout = SoftwareRollout(
-            self.state, self._leadership, store, parts.status, connected.evidence
+            self.state, self._leadership, store, adapters.status, connected.evidence
         )
         self._servers: list[asyncio.Server] = []
         self._tasks: list[asyncio.Task[None]] = []
-        self._stop_asked = asyncio.Event()
-        self._show_figures()
+        self._stop_requested = asyncio.Event()
+        self._register_gauges()
 
-    def take_signals(self) -> None:
+    def install_signal_handlers(self) -> None:
         """Stop as planned on SIGTERM and SIGINT, read the settings again on SIGHUP."""
-        self._loop.add_signal_handler(signal.SIGTERM, self.ask_to_stop)
-        self._loop.add_signal_handler(signal.SIGINT, self.ask_to_stop)
+        self._loop.add_signal_handler(signal.SIGTERM, self.request_stop)
+        self._loop.add_signal_handler(signal.SIGINT, self.request_stop)
         self._loop.add_signal_handler(signal.SIGHUP, self._reload)
 
-    def ask_to_stop(self) -> None:
+    def request_stop(self) -> None:
         """Begin a planned stop; :meth:`run` returns when it is done."""
-        self._stop_asked.set()
+        self._stop_requested.set()
 
     async def run(self) -> None:
         """Serve until a stop is asked for, then stop as planned."""
@@ -147,7 +147,7 @@
             callers=self._settings.caller_address,
             store=self._settings.store_address,
         )
-        await self._stop_asked.wait()
+        await self._stop_requested.wait()
         await self._stop()
 
     async def _supervise(self, duty: Callable[[], Awaitable[None]]) -> None:
@@ -157,7 +157,7 @@
                 await duty()
             except Exception as error:  # noqa: BLE001 - whatever it is, the duty goes on
                 log_event("duty_failed", "ERROR", duty=duty.__qualname__, error=repr(error))
-            await asyncio.sleep(DUTY_PAUSE_S)
+            await asyncio.sleep(DUTY_RESTART_PAUSE_S)
 
     async def _listen(self) -> None:
         settings = self._settings
@@ -187,13 +187,13 @@
     def _metrics_page(self, path: str) -> tuple[int, bytes, bytes]:
         return 200, _JSON_FREE_TEXT, self.state.metrics.render()
 
-    def _show_figures(self) -> None:
+    def _register_gauges(self) -> None:
         state = self.state
         show = state.metrics.add_gauge
         show("ready", "Whether callers are wanted.", lambda: state.ready)
         show("replicas", "Replicas listed.", lambda: len(state.fleet))
         show("parts_believed", "Parts believed to be kept.", lambda: len(state.parts))
-        show("daemons", "Daemons that budgets are shared among.", lambda: state.daemons)
+        show("daemons", "Daemons that budgets are shared among.", lambda: state.daemon_count)
         ledger = state.crashes.ledger
         show("requests_suspected", "Requests under which replicas ended.", lambda: ledger.suspected_count)
         show("requests_barred", "Requests refused as they end replicas.", lambda: ledger.refused_count)
@@ -206,7 +206,7 @@
         show(
             "configuration_version",
             "The configuration in force; 0 with none.",
-            lambda: state.table.version if state.table else 0,
+            lambda: state.routing_table.version if state.routing_table else 0,
         )
         show(
             "configuration_age_seconds",
@@ -223,7 +223,7 @@
         show(
             "zones_unreachable",
             "Zones that requests are kept away from.",
-            lambda: len(state.reach.unreachable(state.clock())),
+            lambda: len(state.zone_reachability.unreachable(state.clock())),
         )
         show(
             "region_round_trip_seconds",
@@ -236,7 +236,7 @@
             lambda: self._peers.cross_region_bytes,
         )
         state.metrics.quota_left = lambda: state.quotas.remaining(state.clock())
-        counters = self._pool.counters
+        counters = self._replica_pool.counters
         show("connections_opened", "Connections to replicas.", lambda: counters.opened)
         show("connections_failed", "Connections that did not come up.", lambda: counters.failed)
         show("peer_bytes_sent", "Bytes sent to peers.", lambda: self._peers.sent_bytes)
@@ -251,7 +251,7 @@
             now_s = self._loop.time()
             self.service.sweep(now_s)
             self._call_pool.sweep(now_s)
-            self._sync.expire_vanished(now_s)
+            self._sync.expire_missing_replicas(now_s)
 
     def _reload(self) -> None:
         settings = self._read_settings()
@@ -272,7 +272,7 @@
         log_event("router_stopping", active=self.service.active_requests)
         handing_over = self._loop.create_task(self._weights_rollout.stop())
         last_s = asked_s + self._settings.bounds.grace_s - STOP_MARGIN_S
-        notice_s = min(ENTRY_NOTICE_S, self._settings.bounds.grace_s / 2)
+        notice_s = min(LOAD_BALANCER_DRAIN_S, self._settings.bounds.grace_s / 2)
         await asyncio.sleep(notice_s)
         # What came until now can be finished within the grace time; what comes later may not.
         self.service.refusing_requests = True
@@ -286,7 +286,7 @@
         for task in self._tasks:
             task.cancel()
         self._peers.close()
-        self._pool.close()
+        self._replica_pool.close()
         self._call_pool.close()
         log_event(
             "router_stopped",
@@ -296,7 +296,7 @@
 
 
 def run_router(
-    settings: RouterSettings, parts: RouterParts, read_settings: ReadSettings, started_s: float
+    settings: RouterSettings, adapters: RouterAdapters, read_settings: ReadSettings, started_s: float
 ) -> int:
     """Run one router process, which began at ``started_s``, to its end."""
     output = LogOutput()
@@ -304,15 +304,15 @@
 
     async def flush_logs() -> None:
         while True:
-            await asyncio.sleep(LOG_PERIOD_S)
+            await asyncio.sleep(LOG_FLUSH_PERIOD_S)
             output.flush()
 
     async def main() -> None:
         flushing = asyncio.get_running_loop().create_task(flush_logs())
         try:
-            process = RouterProcess(settings, parts, read_settings, lambda: output.dropped)
+            process = RouterProcess(settings, adapters, read_settings, lambda: output.dropped)
             process.state.started_at_s = started_s
-            process.take_signals()
+            process.install_signal_handlers()
             await process.run()
         finally:
             flushing.cancel()
--- a/winchfork/router/quota_exchange.py
+++ b/winchfork/router/quota_exchange.py
@@ -21,7 +21,7 @@
 from winchfork.core.zone_hubs import FleetView
 from winchfork.router.peer_messenger import PeerMessenger
 from winchfork.router.settings import RouterBounds
-from winchfork.router.state import ASSUMED_DAEMONS, RouterState
+from winchfork.router.state import ASSUMED_DAEMON_COUNT, RouterState
 
 #: Seconds without a word after which a hub, or another zone, is taken to be out of reach: two of
 #: the complete messages that a hub sends each half second.
@@ -66,7 +66,7 @@
             seed.rpartition(":")[0] != own_ip for seed in state.settings.seeds
         )
         self._use_reader = UsageReceiver()
-        self._zone_use = UsageTotals(state.life)
+        self._zone_use = UsageTotals(state.start_id)
         #: This daemon's last report that its zone's totals lack.
         self._pending_own_report: QuotaReport | None = None
         #: When each daemon was last seen to work, by id, and its zone.
@@ -192,7 +192,7 @@
     def _supply(self, view: FleetView, now_s: float) -> RefillShare:
         known = len(self._seen)
         if known <= 1 and self._has_other_seeds:
-            return RefillShare(0.0, ISOLATED_SHARE / ASSUMED_DAEMONS, is_isolated=True)
+            return RefillShare(0.0, ISOLATED_SHARE / ASSUMED_DAEMON_COUNT, is_isolated=True)
         own_share = 1.0 / max(1, known)
         own_zone = self._state.settings.zone
         alone = RefillShare(0.0, ISOLATED_SHARE * own_share, is_isolated=True)
--- a/winchfork/router/refusal_records.py
+++ b/winchfork/router/refusal_records.py
@@ -19,7 +19,7 @@
 
 _PREFIX = "winchfork/refused/"
 #: Entries that refused requests may take of the store.
-PLACES = 512
+BUCKETS = 512
 
 
 class RefusalRecord(msgspec.Struct, frozen=True):
@@ -33,9 +33,9 @@
     times: int
 
 
-def place_key(digest: bytes) -> str:
+def bucket_key(digest: bytes) -> str:
     """Return the key of a request's place."""
-    return f"{_PREFIX}{int.from_bytes(digest[:4], 'big') % PLACES:03x}"
+    return f"{_PREFIX}{int.from_bytes(digest[:4], 'big') % BUCKETS:03x}"
 
 
 def is_refusal_key(key: str) -> bool:
@@ -43,7 +43,7 @@
     return key.startswith(_PREFIX)
 
 
-def read_refusal(value: bytes) -> RefusalRecord | Failure:
+def decode_refusal(value: bytes) -> RefusalRecord | Failure:
     """Read a stored record."""
     try:
         record = msgspec.json.decode(value, type=RefusalRecord)
@@ -78,19 +78,19 @@
         record = self._records.get(key)
         return record.digest if record is not None else None
 
-    def are_current(self, digest: bytes) -> bool:
+    def matches_ledger(self, digest: bytes) -> bool:
         """Whether the store says of a request what the ledger does."""
-        record = self._records.get(place_key(digest))
+        record = self._records.get(bucket_key(digest))
         stored = record.times if record is not None and record.digest == digest else 0
         return stored == self._ledger.times_refused(digest)
 
-    def new_record(self, digest: bytes) -> bytes:
+    def encode_record(self, digest: bytes) -> bytes:
         """Return what is to be stored of a request that is refused from now on, or no longer."""
         now_ms = int(self._wall_clock() * 1000)
         times = self._ledger.times_refused(digest)
         return msgspec.json.encode(RefusalRecord(digest, now_ms, times))
 
-    def take(self, key: str, value: bytes | None, revision: int) -> Failure | None:
+    def install(self, key: str, value: bytes | None, revision: int) -> Failure | None:
         """Take in what the store holds in a place; an entry that was removed releases.
 
         Returns why an entry cannot be read; it means nothing, and is overwritten when need be.
@@ -99,23 +99,23 @@
             self._release(key)
             return None
         self._revisions[key] = revision
-        record = read_refusal(value)
+        record = decode_refusal(value)
         if isinstance(record, Failure):
             return record
         self._records[key] = record
         if record.times:
-            self._take_refusal(record)
+            self._install_refusal(record)
         else:
             self._ledger.clear(record.digest)
         return None
 
-    def take_outdated(self, key: str, value: bytes | None, revision: int) -> bytes | None:
+    def install_outdated(self, key: str, value: bytes | None, revision: int) -> bytes | None:
         """Remember what a copy of the store holds in a place, if a later record is known.
 
         It means nothing to the ledger. Returns the request of the later one; None without one.
         """
         known = self._records.get(key)
-        record = read_refusal(value) if known is not None and value is not None else None
+        record = decode_refusal(value) if known is not None and value is not None else None
         if known is None or not isinstance(record, RefusalRecord):
             return None
         if record.refused_ms >= known.refused_ms:
@@ -124,13 +124,13 @@
         self._records[key] = record
         return known.digest
 
-    def lose(self, key: str) -> bytes | None:
+    def remove_lost(self, key: str) -> bytes | None:
         """A place is free again though nobody has released it; return whose it was."""
         self._revisions.pop(key, None)
         record = self._records.pop(key, None)
         return record.digest if record is not None else None
 
-    def _take_refusal(self, record: RefusalRecord) -> None:
+    def _install_refusal(self, record: RefusalRecord) -> None:
         for_s = self._ledger.refusal_s(record.times)
         age_s = max(0.0, self._wall_clock() - record.refused_ms / 1000.0)
         if age_s > for_s + REPEATED_REFUSAL_S or record.times < self._ledger.times_refused(record.digest):
--- a/winchfork/router/refusal_writer.py
+++ b/winchfork/router/refusal_writer.py
@@ -7,7 +7,7 @@
 
 from winchfork.errors import Failure
 from winchfork.logs import log_event
-from winchfork.router.refusal_records import place_key
+from winchfork.router.refusal_records import bucket_key
 from winchfork.router.state import RouterState
 from winchfork.stores.async_key_value import AsyncKeyValueStore, ExpectedRevision, PutItem
 
@@ -38,7 +38,7 @@
         """Have a request's record written; ``own``: this daemon sent the run that ended last."""
         if digest in self._due_at_s or len(self._due_at_s) >= MAX_PENDING:
             return
-        spread_s = self._generator.random() * SPREAD_PER_DAEMON_S * self._state.daemons
+        spread_s = self._generator.random() * SPREAD_PER_DAEMON_S * self._state.daemon_count
         self._due_at_s[digest] = self._state.clock() + (0.0 if own else OTHERS_DELAY_S + spread_s)
         self._scheduled.set()
 
@@ -58,12 +58,12 @@
 
     async def _write(self, digest: bytes) -> None:
         records = self._state.crashes.records
-        if records.are_current(digest):
+        if records.matches_ledger(digest):
             del self._due_at_s[digest]
             return
-        key = place_key(digest)
+        key = bucket_key(digest)
         expected = ExpectedRevision(key, records.revision(key))
-        value = records.new_record(digest)
+        value = records.encode_record(digest)
         written = await self._store.transact([expected], [PutItem(key, value)])
         if isinstance(written, Failure):
             pause_s = RETRY_DELAY_S * (0.5 + self._generator.random())
--- a/winchfork/router/relayed_request.py
+++ b/winchfork/router/relayed_request.py
@@ -121,7 +121,7 @@
     async def run(self) -> None:
         """Serve the request; never raises."""
         timer = self._loop.call_at(self._retries.ends_at_s, self._inbox.put, TimerFired(DEADLINE))
-        self._state.budget.record_request(self._service_name, self._loop.time())
+        self._state.retry_budget.record_request(self._service_name, self._loop.time())
         try:
             await self._serve()
         except Exception as error:  # noqa: BLE001 - one request's surprise must not end the others
@@ -211,7 +211,7 @@
         metrics.sent_by_software.labels(software).inc()
         if replica.notice.limit.per_s is not None:
             metrics.sent_under_limit.labels(replica.replica_id).inc()
-        elif self._state.choice.count_at_limit(listing.service):
+        elif self._state.replica_selector.count_at_limit(listing.service):
             metrics.limit_effects.labels("elsewhere").inc()
         metrics.sent_by_region.labels(self._state.settings.regions.region_of(listing.zone)).inc()
 
@@ -219,7 +219,7 @@
         if failure.kind is FailureKind.CONNECTION_REFUSED:
             self._crashes.record_crash(replica, CrashEvidence.PORT_CLOSED)
         if failure.kind in _UNREACHABLE_KINDS:
-            self._state.note_failure(replica, failure.reason, certain=True)
+            self._state.record_failure(replica, failure.reason, certain=True)
         return NotRun(failure.reason, sent=False)
 
     def _resume_after(self) -> int | None:
--- a/winchfork/router/replica_search.py
+++ b/winchfork/router/replica_search.py
@@ -65,7 +65,7 @@
         self._admitted = admitted
         self._attempted = attempted
         self._inbox = inbox
-        self._queue = state.place_queues[planner.service]
+        self._queue = state.permit_queues[planner.service]
         self._ticket: PermitTicket | None = None
         self._waits_for_permit = False
 
@@ -152,12 +152,12 @@
         """Return why nothing is sent, and when one is expected to take work."""
         service = self._planner.service
         reason = f"no replica of {service} takes work in time"
-        closed = self._state.choice.describe_unavailable(service)
+        closed = self._state.replica_selector.describe_unavailable(service)
         if self._ticket is not None:
             self._state.metrics.limit_effects.labels("refused").inc()
         again_s: float | None = opening_s
         if math.isinf(opening_s):
-            again_s = self._state.choice.fleet_permit_interval_s(service)
+            again_s = self._state.replica_selector.fleet_permit_interval_s(service)
         return FailureKind.NO_REPLICA.because(
             f"{reason}: {closed}" if closed else reason,
             ran=ran,
--- a/winchfork/router/replica_selector.py
+++ b/winchfork/router/replica_selector.py
@@ -55,9 +55,9 @@
             and replica.replica_id not in excluded
             and (prompt is None or self._weights_allowed(replica, prompt, now_s))
         ]
-        candidates = self._state.software.allowed(service, candidates, on_target=on_target)
+        candidates = self._state.software.allowed_replicas(service, candidates, on_target=on_target)
         sound = [replica for replica in candidates if now_s >= replica.ejected_until_s]
-        unreachable = self._state.reach.unreachable(now_s)
+        unreachable = self._state.zone_reachability.unreachable(now_s)
         if unreachable:
             reached = [item for item in sound if item.listing.zone not in unreachable]
             sound = reached or sound
@@ -75,7 +75,7 @@
         left = self._remaining(service, excluded)
         openings = [
             replica.available_in_s(now_s) or PRIOR_LOAD_S
-            for replica in self._state.software.allowed(service, left, on_target=on_target)
+            for replica in self._state.software.allowed_replicas(service, left, on_target=on_target)
         ]
         opening_s = min(openings, default=math.inf)
         return None if math.isinf(opening_s) else opening_s
@@ -101,7 +101,7 @@
         now_s = self._state.clock()
         return [
             PermitOpening(replica.available_in_s(now_s), replica.notice.limit.interval_s)
-            for replica in self._state.software.allowed(service, left, on_target=on_target)
+            for replica in self._state.software.allowed_replicas(service, left, on_target=on_target)
         ]
 
     def fleet_permit_interval_s(self, service: str) -> float | None:
@@ -136,7 +136,7 @@
 
     def weights_expire_at_s(self, model: str, version: int | None) -> float:
         """Return when no request may begin on a version any more; infinite without a newer one."""
-        history = self._state.versions.get(model)
+        history = self._state.weights_versions.get(model)
         if history is None or version is None:
             return math.inf
         return history.expires_at_s(version, self._state.settings.bounds.weights_s)
--- a/winchfork/router/request_admission.py
+++ b/winchfork/router/request_admission.py
@@ -42,7 +42,7 @@
 
     def admit(self, request: IncomingRequest, fields: RequestFields) -> AdmittedRequest | Failure:
         """Find the route and the tenant of a request, or say why it may not run."""
-        table = self._state.table
+        table = self._state.routing_table
         if table is None:
             return FailureKind.CONFIGURATION_UNKNOWN.because(
                 "no configuration is known yet", retry_after_s=STALE_RETRY_AFTER_S
@@ -67,7 +67,7 @@
             return FailureKind.UNAUTHENTICATED.because(
                 "the key is missing or unknown", remedy="send a key that the operators hold"
             )
-        if not self._state.keys_fresh:
+        if not self._state.api_keys_fresh:
             return self._stale("the key cannot be checked")
         return admitted
 
--- a/winchfork/router/request_record.py
+++ b/winchfork/router/request_record.py
@@ -72,12 +72,12 @@
             in_flight=decision.replica.in_flight,
             left_s=left_s,
             known_s=self.state.freshness.age_s(self.clock()),
-            configuration=self.state.table.version if self.state.table else 0,
+            configuration=self.state.routing_table.version if self.state.routing_table else 0,
         )
 
     def _weights_left_s(self, plan: AttemptPlan) -> float | None:
         """Return how much longer requests may begin on the weights; None without a bound."""
-        due_s = self.state.choice.weights_expire_at_s(plan.model, plan.weights_version)
+        due_s = self.state.replica_selector.weights_expire_at_s(plan.model, plan.weights_version)
         return None if math.isinf(due_s) else due_s - self.clock()
 
     def log_done(self, ran: RunState, events: int) -> None:
--- a/winchfork/router/request_retries.py
+++ b/winchfork/router/request_retries.py
@@ -67,7 +67,7 @@
             return RetryDenial.ATTEMPTS
         if not self.has_attempts_left(max_attempts):
             return RetryDenial.TIME
-        daemons = self._state.daemons
-        if self._state.budget.try_spend(self._service, daemons, self._state.clock(), reserve):
+        daemons = self._state.daemon_count
+        if self._state.retry_budget.try_spend(self._service, daemons, self._state.clock(), reserve):
             return None
         return RetryDenial.BUDGET
--- a/winchfork/router/restored_entries.py
+++ b/winchfork/router/restored_entries.py
@@ -53,7 +53,7 @@
         """The entry has been written again, or has gone."""
         self._held_back.pop(replica_id, None)
 
-    def take_due(self, now_s: float) -> list[tuple[ReplicaListing, int]]:
+    def pop_due(self, now_s: float) -> list[tuple[ReplicaListing, int]]:
         """Return the entries that are believed after all, with their revisions."""
         due = [item for item in self._held_back.values() if now_s >= item.until_s]
         for item in due:
--- a/winchfork/router/service.py
+++ b/winchfork/router/service.py
@@ -46,9 +46,9 @@
         self._connections: set[CallerConnection] = set()
         self._tasks: dict[asyncio.Task[None], RelayedRequest] = {}
         state.is_connected = pool.is_connected
-        state.on_held = self._replica_held
-        state.on_silent = self._replica_silent
-        state.on_zone_lost = self._zone_lost
+        state.on_replica_hold = self._replica_held
+        state.on_unresponsive = self._replica_silent
+        state.on_zone_unreachable = self._zone_lost
         self._probes = ReplicaProbes(state, pool)
         state.crashes.on_connection_broken = self._probes.schedule
 
@@ -56,7 +56,7 @@
 
     def limits(self) -> CallerLimits:
         """Return the limits in force."""
-        return self.state.table.limits if self.state.table else _DEFAULT_LIMITS
+        return self.state.routing_table.limits if self.state.routing_table else _DEFAULT_LIMITS
 
     def connection_opened(self, connection: CallerConnection) -> None:
         """Track a connection."""
@@ -105,7 +105,7 @@
             code=failure.kind.value,
             reason=failure.reason,
             known_s=self.state.freshness.age_s(self.state.clock()),
-            configuration=self.state.table.version if self.state.table else 0,
+            configuration=self.state.routing_table.version if self.state.routing_table else 0,
         )
         answer = refusal_answer(failure, request_id, self.state.generator)
         connection.write_answer(answer.status, answer.headers, answer.body)
--- a/winchfork/router/service_answers.py
+++ b/winchfork/router/service_answers.py
@@ -10,8 +10,8 @@
 SLOW_RATIO = 2.5
 #: Share of a new sample in the moving average of what answers usually take, and how far above the
 #: average a sample counts.
-USUAL_WEIGHT = 0.1
-MOST_TIMES_USUAL = 4.0
+TYPICAL_RATIO_WEIGHT = 0.1
+MAX_TIMES_TYPICAL = 4.0
 #: Names the version in force where answers are counted by replica.
 OLD_VERSION = 0
 
@@ -22,16 +22,16 @@
     order_revision: int
     counts: dict[tuple[int, int], AnswerCounts] = {}
     #: Seconds that answers of the old version usually take, for each expected second, by route.
-    usual: dict[int, float] = {}
+    typical_ratios: dict[int, float] = {}
 
-    def note(self, replica: int, route: int, ratio: float, *, failed: bool) -> bool:
+    def record(self, replica: int, route: int, ratio: float, *, failed: bool) -> bool:
         """Count an answer that took ``ratio`` of the expected time; True when it was a bad one."""
-        usual = self.usual.get(route)
+        usual = self.typical_ratios.get(route)
         slow = not failed and usual is not None and ratio > SLOW_RATIO * usual
         counts = self.counts.setdefault((replica, route), AnswerCounts())
         counts.add(AnswerCounts(1, int(failed), int(slow)))
         if replica == OLD_VERSION and not failed:
             known = usual if usual is not None else ratio
-            sample = min(ratio, MOST_TIMES_USUAL * known)
-            self.usual[route] = known + USUAL_WEIGHT * (sample - known)
+            sample = min(ratio, MAX_TIMES_TYPICAL * known)
+            self.typical_ratios[route] = known + TYPICAL_RATIO_WEIGHT * (sample - known)
         return failed or slow
--- a/winchfork/router/software_records.py
+++ b/winchfork/router/software_records.py
@@ -10,27 +10,27 @@
 _PREFIX = "winchfork/software/"
 
 
-def record_key(service: str) -> str:
+def software_record_key(service: str) -> str:
     """Return the key of a service's record."""
     return _PREFIX + service
 
 
-def service_of(key: str) -> str:
+def service_of_record(key: str) -> str:
     """Return the service whose record has a key."""
     return key.removeprefix(_PREFIX)
 
 
-def is_record_key(key: str) -> bool:
+def is_software_record_key(key: str) -> bool:
     """Whether an entry is such a record."""
     return key.startswith(_PREFIX)
 
 
-def write_record(record: SoftwareState) -> bytes:
+def encode_record(record: SoftwareState) -> bytes:
     """Return a record as it is stored."""
     return msgspec.json.encode(record)
 
 
-def read_record(value: bytes) -> SoftwareState | Failure:
+def decode_record(value: bytes) -> SoftwareState | Failure:
     """Read a stored record."""
     try:
         return msgspec.json.decode(value, type=SoftwareState)
--- a/winchfork/router/software_rollout.py
+++ b/winchfork/router/software_rollout.py
@@ -27,23 +27,23 @@
 from winchfork.router.leader_entry import LEADER_KEY
 from winchfork.router.leadership import Leadership
 from winchfork.router.quota_exchange import SILENCE_S, daemon_memory_s
-from winchfork.router.software_records import record_key, write_record
+from winchfork.router.software_records import software_record_key, encode_record
 from winchfork.router.state import RouterState
 from winchfork.stores.async_key_value import AsyncKeyValueStore, ExpectedRevision, PutItem
 
-PASS_PERIOD_S = 0.1
+POLL_PERIOD_S = 0.1
 #: Pause after a write, whether or not it was answered: meanwhile the store's watch tells what holds
 #: now. Nothing else does, and a write that is tried again too early changes nothing.
 WRITE_PAUSE_S = 0.3
 #: How long ago an order or a record counts as written that this daemon found at its start.
-FOUND_AGE_S = 3.0
+ASSUMED_AGE_AT_START_S = 3.0
 #: Runs that take longer than this many times the mean are rare enough to be cut at the time limit.
 LONG_RUN_RATIO = 4.0
 #: Coverage of a daemon that hears of the work of every other.
-WHOLE_FLEET = 1.0
+FULL_COVERAGE = 1.0
 
 
-class _Seen(msgspec.Struct, frozen=True):
+class _FirstSeen(msgspec.Struct, frozen=True):
     """A record's revision, and since when it is known here."""
 
     revision: int
@@ -67,92 +67,92 @@
         self._store = store
         self._status = status
         self._evidence = evidence
-        self._records_seen: dict[str, _Seen] = {}
+        self._records_seen: dict[str, _FirstSeen] = {}
         #: Answers of each service of late, counted on every daemon: any may lead next.
         self._rates: defaultdict[str, AnswerRate] = defaultdict(AnswerRate)
-        self._orders_seen: dict[str, _Seen] = {}
-        self._look_again_s: dict[str, float] = {}
+        self._orders_seen: dict[str, _FirstSeen] = {}
+        self._next_check_s: dict[str, float] = {}
         #: Since when some daemon has not been heard of, and when one may last have been forgotten.
-        self._unheard_since_s: float | None = None
-        self._lost_sight_s = -math.inf
+        self._coverage_gap_since_s: float | None = None
+        self._coverage_lost_s = -math.inf
 
     async def run(self) -> None:
         """Look for work until cancelled."""
         while True:
-            await asyncio.sleep(PASS_PERIOD_S)
+            await asyncio.sleep(POLL_PERIOD_S)
             if not self._versions.enabled:
                 continue
-            self._look_around()
+            self._observe()
             if self._leadership.leads():
                 for service in self._versions.services():
-                    await self._pass(service)
+                    await self._advance(service)
 
-    def _look_around(self) -> None:
+    def _observe(self) -> None:
         """Note since when each order and record is known, on every daemon: any may lead next."""
         now_s = self._state.clock()
-        self._listen_around(now_s)
+        self._observe_coverage(now_s)
         for service in self._versions.services():
-            _note_seen(self._records_seen, service, self._versions.revision(service), now_s)
-            if self._versions.state(service).running:
+            _record_first_seen(self._records_seen, service, self._versions.revision(service), now_s)
+            if self._versions.effective_state(service).running:
                 answers = self._evidence.evidence(service).all_answers
                 self._rates[service].record(answers, now_s)
             order = self._versions.orders.get(service)
             if order is not None:
-                self._note_order_seen(order, now_s)
+                self._record_order_seen(order, now_s)
 
-    def _note_order_seen(self, order: SoftwareOrder, now_s: float) -> None:
+    def _record_order_seen(self, order: SoftwareOrder, now_s: float) -> None:
         """Note since when an order is known, by whatever number."""
         seen = self._orders_seen.get(order.service)
         if seen is not None:
-            number = self._versions.number_of(order.service, seen.revision)
-            self._orders_seen[order.service] = _Seen(number, seen.since_s)
-        _note_seen(self._orders_seen, order.service, order.revision, now_s)
+            number = self._versions.current_order_number(order.service, seen.revision)
+            self._orders_seen[order.service] = _FirstSeen(number, seen.since_s)
+        _record_first_seen(self._orders_seen, order.service, order.revision, now_s)
 
-    def _listen_around(self, now_s: float) -> None:
+    def _observe_coverage(self, now_s: float) -> None:
         """Note whether every daemon is heard; one that is silent for long is no longer missed."""
-        if self._state.quotas.refill_share.coverage >= WHOLE_FLEET:
-            self._unheard_since_s = None
+        if self._state.quotas.refill_share.coverage >= FULL_COVERAGE:
+            self._coverage_gap_since_s = None
             return
-        if self._unheard_since_s is None:
-            self._unheard_since_s = now_s
+        if self._coverage_gap_since_s is None:
+            self._coverage_gap_since_s = now_s
         missed_s = daemon_memory_s(self._state.settings.bounds) - SILENCE_S
-        if now_s - self._unheard_since_s >= missed_s:
-            self._lost_sight_s = now_s
+        if now_s - self._coverage_gap_since_s >= missed_s:
+            self._coverage_lost_s = now_s
 
-    def _hears_everyone(self, service: str) -> bool:
+    def _is_fleet_covered(self, service: str) -> bool:
         """Whether all is heard of that has been under way since a service's order.
 
         A daemon that fell silent since, and was forgotten, may have answers under way unheard.
         """
         order = self._orders_seen.get(service)
-        kept_sight = order is not None and self._lost_sight_s < order.since_s
-        return kept_sight and self._unheard_since_s is None
+        kept_sight = order is not None and self._coverage_lost_s < order.since_s
+        return kept_sight and self._coverage_gap_since_s is None
 
-    async def _pass(self, service: str) -> None:
+    async def _advance(self, service: str) -> None:
         now_s = self._state.clock()
-        if now_s < self._look_again_s.get(service, 0.0):
+        if now_s < self._next_check_s.get(service, 0.0):
             return
-        step = self._next(service)
+        step = self._next_step(service)
         if step is not None:
             await self._write(step)
 
-    def _next(self, service: str) -> RolloutStep | None:
-        record = self._versions.recorded(service)
+    def _next_step(self, service: str) -> RolloutStep | None:
+        record = self._versions.recorded_state(service)
         order = self._versions.orders.get(service)
         if record is None:
-            assumed = self._versions.state(service)
+            assumed = self._versions.effective_state(service)
             if not assumed.in_force:
                 return None
             return RolloutStep(assumed, "the version in force is recorded")
         if order is not None and order.revision > record.order_revision:
-            return self._take_order(record, order)
-        if self._versions.is_lost(service):
+            return self._start_order(record, order)
+        if self._versions.is_record_lost(service):
             return RolloutStep(record, "the store came back without it")
         if not record.running:
             return None
         return next_step(record, self._view(record), self._state.settings.bounds.exposure)
 
-    def _take_order(self, record: SoftwareState, order: SoftwareOrder) -> RolloutStep:
+    def _start_order(self, record: SoftwareState, order: SoftwareOrder) -> RolloutStep:
         aged = msgspec.structs.replace(
             record.with_order(order), elapsed_s=self._age_s(self._orders_seen[order.service])
         )
@@ -164,12 +164,12 @@
             return RolloutStep(aged.completed(), "the version is in force already")
         return RolloutStep(aged, "ordered")
 
-    def _age_s(self, seen: _Seen) -> float:
+    def _age_s(self, seen: _FirstSeen) -> float:
         """Return how long ago something was written that was first seen at a moment.
 
         What was there when this daemon started is older than it looks.
         """
-        found_s = FOUND_AGE_S if self._versions.was_found(seen.revision) else 0.0
+        found_s = ASSUMED_AGE_AT_START_S if self._versions.was_found_at_start(seen.revision) else 0.0
         return self._state.clock() - seen.since_s + found_s
 
     def _left_s(self, record: SoftwareState, elapsed_s: float) -> float:
@@ -202,7 +202,7 @@
             new_slots=sum(item.listing.slots for item in new),
             old_slots=sum(item.listing.slots for item in old),
             old_running=sum(item.running for item in leaving),
-            all_daemons_reported=self._hears_everyone(record.service),
+            all_daemons_reported=self._is_fleet_covered(record.service),
             new_answers=evidence.new_answers,
             all_answers=evidence.all_answers,
             recent_per_s=self._rates[record.service].per_s,
@@ -216,9 +216,9 @@
         service = record.service
         expected = [
             ExpectedRevision(LEADER_KEY, self._leadership.entry_revision),
-            ExpectedRevision(record_key(service), self._versions.revision(service)),
+            ExpectedRevision(software_record_key(service), self._versions.revision(service)),
         ]
-        puts = [PutItem(record_key(service), write_record(record))]
+        puts = [PutItem(software_record_key(service), encode_record(record))]
         if record.order_revision:
             puts.append(self._status.rollout_status(service, record.target, record.outcome))
         written = await self._store.transact(expected, puts)
@@ -241,10 +241,10 @@
             written=str(written) if failed else "yes",
             fence=self._leadership.fence,
         )
-        self._look_again_s[service] = self._state.clock() + WRITE_PAUSE_S
+        self._next_check_s[service] = self._state.clock() + WRITE_PAUSE_S
 
 
-def _note_seen(seen: dict[str, _Seen], service: str, revision: int, now_s: float) -> None:
+def _record_first_seen(seen: dict[str, _FirstSeen], service: str, revision: int, now_s: float) -> None:
     known = seen.get(service)
     if known is None or known.revision != revision:
-        seen[service] = _Seen(revision, now_s)
+        seen[service] = _FirstSeen(revision, now_s)
--- a/winchfork/router/software_versions.py
+++ b/winchfork/router/software_versions.py
@@ -55,20 +55,20 @@
         enabled: bool,
     ) -> None:
         self.enabled = enabled
-        self._share_age_s = max(0.5, rollback_s - ROLLBACK_MARGIN_S)
+        self._max_proof_age_s = max(0.5, rollback_s - ROLLBACK_MARGIN_S)
         self._draw = draw
         self._fleet = fleet
         self._proof_age_s = proof_age_s
-        self._states: dict[str, SoftwareState] = {}
+        self._records: dict[str, SoftwareState] = {}
         self._revisions: dict[str, int] = {}
         #: Services whose record the store has lost, or holds as it was earlier.
-        self._lost: set[str] = set()
+        self._lost_records: set[str] = set()
         self.orders: dict[str, SoftwareOrder] = {}
-        self._order_book = OrderRegistry()
+        self._order_registry = OrderRegistry()
         #: Revisions of orders and records that were there at the start.
-        self._found: set[int] = set()
+        self._found_at_start: set[int] = set()
         #: The version taken to be in force where there is no record.
-        self._assumed: dict[str, str] = {}
+        self._assumed_in_force: dict[str, str] = {}
         self._credits: dict[str, ExposureCredit] = {}
         self._stops: dict[str, _Stop] = {}
         self.answers: dict[str, ServiceAnswers] = {}
@@ -78,20 +78,20 @@
 
     # What is known
 
-    def install(self, state: SoftwareState, revision: int, *, found: bool = False) -> None:
+    def install(self, state: SoftwareState, revision: int, *, found_at_start: bool = False) -> None:
         """Take a record from the store; one that is not newer is known already.
 
         ``found``: it was there when this daemon started, nobody knows for how long.
         """
         if revision <= self._revisions.get(state.service, 0):
             return
-        state = self._with_number_now(state)
-        known = self._states.get(state.service)
-        self._states[state.service] = state
+        state = self._with_current_number(state)
+        known = self._records.get(state.service)
+        self._records[state.service] = state
         self._revisions[state.service] = revision
-        self._lost.discard(state.service)
-        if found:
-            self._found.add(revision)
+        self._lost_records.discard(state.service)
+        if found_at_start:
+            self._found_at_start.add(revision)
         if known is None or known.order_revision != state.order_revision:
             self._credits.pop(state.service, None)
             self.answers[state.service] = ServiceAnswers(state.order_revision)
@@ -109,44 +109,44 @@
 
     def install_restored(self, state: SoftwareState, revision: int) -> None:
         """Take a record from a copy of the store: a later one that is known here stays."""
-        state = self._with_number_now(state)
-        known = self._states.get(state.service)
+        state = self._with_current_number(state)
+        known = self._records.get(state.service)
         if known is None or known.is_earlier_than(state):
             self._revisions.pop(state.service, None)
             self.install(state, revision)
             return
         self._revisions[state.service] = revision
         if known != state:
-            self._note_lost(state.service)
+            self._mark_record_lost(state.service)
 
-    def note_lost(self, service: str) -> None:
+    def handle_lost_record(self, service: str) -> None:
         """The store came back without a service's record."""
-        if service in self._states:
+        if service in self._records:
             self._revisions[service] = 0
-            self._note_lost(service)
+            self._mark_record_lost(service)
 
-    def _note_lost(self, service: str) -> None:
-        self._lost.add(service)
+    def _mark_record_lost(self, service: str) -> None:
+        self._lost_records.add(service)
         log_event("software_record_lost", "WARNING", service=service)
 
-    def is_lost(self, service: str) -> bool:
+    def is_record_lost(self, service: str) -> bool:
         """Whether the store holds an earlier record than the one that is known, or none."""
-        return service in self._lost
+        return service in self._lost_records
 
-    def note_order(
-        self, order: SoftwareOrder, position: StorePosition, *, found: bool = False
+    def install_order(
+        self, order: SoftwareOrder, position: StorePosition, *, found_at_start: bool = False
     ) -> None:
         """Take an operator's order from the store; ``found`` as in :meth:`install`."""
-        news = self._order_book.record(order, position)
+        news = self._order_registry.record(order, position)
         if news is None:
             return
         self.orders[order.service] = news.order
         if news.previous_number is not None:
-            self._renumber(order.service, news.previous_number, order.revision)
+            self._renumber_order(order.service, news.previous_number, order.revision)
             return
-        self._void_numbers_from(order)
-        if found:
-            self._found.add(order.revision)
+        self._void_later_numbers(order)
+        if found_at_start:
+            self._found_at_start.add(order.revision)
         log_event(
             "software_ordered",
             service=order.service,
@@ -155,82 +155,82 @@
             order=order.revision,
         )
 
-    def number_of(self, service: str, number: int) -> int:
+    def current_order_number(self, service: str, number: int) -> int:
         """Return what the order is called now that had a number before."""
-        return self._order_book.current_number(service, number)
+        return self._order_registry.current_number(service, number)
 
-    def _renumber(self, service: str, former: int, number: int) -> None:
+    def _renumber_order(self, service: str, former: int, number: int) -> None:
         """The store holds an order under another revision since its return from a copy."""
-        state = self._states.get(service)
+        state = self._records.get(service)
         if state is not None and state.order_revision == former:
-            self._states[service] = self._with_number_now(state)
-            self._note_lost(service)
+            self._records[service] = self._with_current_number(state)
+            self._mark_record_lost(service)
         answers = self.answers.get(service)
         if answers is not None and answers.order_revision == former:
             answers.order_revision = number
         stop = self._stops.get(service)
         if stop is not None and stop.order_revision == former:
             self._stops[service] = _Stop(number, stop.cause)
-        if former in self._found:
-            self._found.add(number)
+        if former in self._found_at_start:
+            self._found_at_start.add(number)
         log_event("software_order_renumbered", service=service, order=number, former=former)
 
-    def _void_numbers_from(self, order: SoftwareOrder) -> None:
+    def _void_later_numbers(self, order: SoftwareOrder) -> None:
         """A new order is later than the record, whose number is of an era that is over."""
-        state = self._states.get(order.service)
+        state = self._records.get(order.service)
         if state is not None and state.order_revision >= order.revision:
-            self._order_book.invalidate(order.service, state.order_revision)
-            self._renumber(order.service, state.order_revision, NO_ORDER)
+            self._order_registry.invalidate(order.service, state.order_revision)
+            self._renumber_order(order.service, state.order_revision, NO_ORDER)
 
-    def _with_number_now(self, state: SoftwareState) -> SoftwareState:
-        number = self.number_of(state.service, state.order_revision)
+    def _with_current_number(self, state: SoftwareState) -> SoftwareState:
+        number = self.current_order_number(state.service, state.order_revision)
         return msgspec.structs.replace(state, order_revision=number)
 
     def shares(self) -> dict[str, float]:
         """Return for each service with a record the share that its target may get."""
-        return {service: state.share for service, state in self._states.items()}
+        return {service: state.share for service, state in self._records.items()}
 
-    def was_found(self, revision: int) -> bool:
+    def was_found_at_start(self, revision: int) -> bool:
         """Whether an order or a record of this revision was there at this daemon's start."""
-        return revision in self._found
+        return revision in self._found_at_start
 
     def revision(self, service: str) -> int:
         """Return the revision of a service's record; 0 where there is none."""
         return self._revisions.get(service, 0)
 
-    def recorded(self, service: str) -> SoftwareState | None:
+    def recorded_state(self, service: str) -> SoftwareState | None:
         """Return a service's record, if it has one."""
-        return self._states.get(service)
+        return self._records.get(service)
 
-    def state(self, service: str) -> SoftwareState:
+    def effective_state(self, service: str) -> SoftwareState:
         """Return a service's record, or what is to be assumed without one."""
-        return self._states.get(service) or SoftwareState(service, self._assume(service))
+        return self._records.get(service) or SoftwareState(service, self._assume_in_force(service))
 
-    def _assume(self, service: str) -> str:
+    def _assume_in_force(self, service: str) -> str:
         replicas = self._fleet.of_service(service)
         listed = [replica.listing.software for replica in replicas]
         order = self.orders.get(service)
         target = order.target if order else ""
-        known = self._assumed.get(service, "")
+        known = self._assumed_in_force.get(service, "")
         if known and known in listed and known != target:
             return known
         accepting = [replica.listing.software for replica in replicas if replica.accepting]
-        self._assumed[service] = infer_in_force(accepting, listed, target)
-        return self._assumed[service]
+        self._assumed_in_force[service] = infer_in_force(accepting, listed, target)
+        return self._assumed_in_force[service]
 
     def services(self) -> list[str]:
         """Return the services that are known to have replicas, an order or a record, sorted."""
         listed = {replica.listing.service for replica in self._fleet.replicas()}
-        return sorted(listed | self.orders.keys() | self._states.keys())
+        return sorted(listed | self.orders.keys() | self._records.keys())
 
     # Which replicas a request may go to
 
-    def goes_to_target(self, service: str, family: str) -> bool:
+    def assign_to_target(self, service: str, family: str) -> bool:
         """Decide once for a request whether it is one of those that go to the new version."""
-        state = self._states.get(service)
+        state = self._records.get(service)
         if not self.enabled or state is None or not state.running or not state.share:
             return False
-        if state.phase is SoftwarePhase.MOVED or not self._share_holds(state):
+        if state.phase is SoftwarePhase.MOVED or not self._is_share_current(state):
             return False
         credit = self._credits.get(service)
         if credit is None:
@@ -238,25 +238,25 @@
         credit.earn(state.share)
         return credit.spend(bucket_of(family, state.order_revision), state.share)
 
-    def _share_holds(self, state: SoftwareState) -> bool:
-        return not self.is_stopped(state) and self._proof_age_s() <= self._share_age_s
+    def _is_share_current(self, state: SoftwareState) -> bool:
+        return not self.is_stopped(state) and self._proof_age_s() <= self._max_proof_age_s
 
-    def allowed(
+    def allowed_replicas(
         self, service: str, replicas: Sequence[RelayReplica], *, on_target: bool
     ) -> list[RelayReplica]:
         """Return the replicas that a request may go to, of those that take work."""
         if not self.enabled:
             return list(replicas)
-        state = self.state(service)
+        state = self.effective_state(service)
         if not state.in_force:
             return list(replicas)
         if self.is_stopped(state) and not state.returning:
             return _of_version(replicas, state.in_force)
-        rule = version_rule(state, on_target=on_target and self._share_holds(state))
-        first = self._first(service, replicas, rule)
+        rule = version_rule(state, on_target=on_target and self._is_share_current(state))
+        first = self._preferred_replicas(service, replicas, rule)
         return first or _of_version(replicas, rule.fallback)
 
-    def _first(
+    def _preferred_replicas(
         self, service: str, replicas: Sequence[RelayReplica], rule: VersionRule
     ) -> list[RelayReplica]:
         found = _of_version(replicas, rule.preferred)
@@ -280,10 +280,10 @@
             return None
         return stop.cause
 
-    def stop(self, service: str, order_revision: int, cause: StopCause, *, told_by: str) -> None:
+    def stop(self, service: str, order_revision: int, cause: StopCause, *, reported_by: str) -> None:
         """Send the target nothing more, whatever the record says."""
-        order_revision = self.number_of(service, order_revision)
-        known, state = self._stops.get(service), self._states.get(service)
+        order_revision = self.current_order_number(service, order_revision)
+        known, state = self._stops.get(service), self._records.get(service)
         is_of_before = state is not None and order_revision < state.order_revision
         if is_of_before or (known is not None and known.order_revision == order_revision):
             return
@@ -294,12 +294,12 @@
             service=service,
             order=order_revision,
             cause=cause.value,
-            told_by=told_by,
+            told_by=reported_by,
         )
 
     # Evidence
 
-    def note_answer(
+    def record_answer(
         self,
         service: str,
         route: str,
@@ -310,7 +310,7 @@
         expected_s: float,
     ) -> None:
         """Count an answer while a rollout runs; ``expected_s`` is what it was predicted to take."""
-        state = self._states.get(service)
+        state = self._records.get(service)
         if not self.enabled or state is None or not state.running:
             return
         is_new = replica.listing.software == state.target
@@ -318,7 +318,7 @@
             return
         place = replica.order_hash if is_new else OLD_VERSION
         ratio = took_s / max(expected_s, 1e-3)
-        if self.answers[service].note(place, member_hash(route), ratio, failed=failed):
+        if self.answers[service].record(place, member_hash(route), ratio, failed=failed):
             self.on_bad_answer()
 
 
--- a/winchfork/router/state.py
+++ b/winchfork/router/state.py
@@ -42,14 +42,14 @@
 #: Part of the revocation bound that is kept for a store whose watches lag and for slow clocks.
 REVOCATION_MARGIN_S = 1.15
 #: Seconds for each token out until measured, and the share of a new run in the moving average.
-FIRST_TOKEN_S = 0.008
-FIRST_RUN_S = 0.5
+INITIAL_RUN_S_PER_TOKEN = 0.008
+INITIAL_MEAN_RUN_S = 0.5
 RUN_WEIGHT = 0.05
 BYTES_PER_S_PER_MBPS = 125_000.0
 #: Daemons assumed to share budgets and connections until more are known.
-ASSUMED_DAEMONS = 10
+ASSUMED_DAEMON_COUNT = 10
 #: Enough that two starts of one daemon never meet in a number.
-LIFE_BITS = 32
+START_ID_BITS = 32
 
 
 class RouterState:
@@ -63,26 +63,26 @@
         self.generator = generator
         #: When this process began; what it then finds in the store may have been there for long.
         self.started_at_s = clock()
-        self.table: RoutingTable | None = None
+        self.routing_table: RoutingTable | None = None
         #: Everything in the store up to there is known here.
         self.store_position = StorePosition()
         #: Versions of each model's weights that operators have named.
-        self.versions: dict[str, VersionHistory] = {}
+        self.weights_versions: dict[str, VersionHistory] = {}
         #: Replicas missing from the list since an outage, with the time until which they are kept.
-        self.vanished: dict[str, float] = {}
+        self.missing_until_s: dict[str, float] = {}
         self.fleet = RelayFleet()
-        self.fleet.on_incarnation_change = _log_standing
+        self.fleet.on_incarnation_change = _log_incarnation_change
         self.cache_stores = CacheStores()
         self.region_delay = RegionDelay()
         self.parts = PartIndex()
         #: What this daemon has learned of kept parts and has not told its peers yet.
-        self.kept_news = CachedPartsBacklog()
+        self.cached_parts_backlog = CachedPartsBacklog()
         #: The daemon that the store names as the leader; empty while there is none.
         self.leader_id = ""
         #: Highest fence under which a rollout leader has spoken.
         self.weights_fence = 0
         self.freshness = Freshness()
-        self.standstill = StallDetector()
+        self.stall_detector = StallDetector()
         self.store_outage = StoreOutageDetector(clock(), has_peers=bool(settings.seeds))
         self.software = SoftwareVersions(
             self.fleet,
@@ -100,49 +100,49 @@
         #: Told when this daemon has given a replica a prompt.
         self.on_work_sent: Callable[[], None] = lambda: None
         #: Told of each replica that is to be given nothing new, since it loads weights next.
-        self.on_held: Callable[[RelayReplica], None] = lambda replica: None
+        self.on_replica_hold: Callable[[RelayReplica], None] = lambda replica: None
         #: Told of each replica that has not acknowledged a request on an open connection, and of
         #: each zone that cannot be reached any more.
-        self.on_silent: Callable[[RelayReplica], None] = lambda replica: None
-        self.on_zone_lost: Callable[[str], None] = lambda zone: None
+        self.on_unresponsive: Callable[[RelayReplica], None] = lambda replica: None
+        self.on_zone_unreachable: Callable[[str], None] = lambda zone: None
         #: Told of each replica that this daemon ejects on its own evidence.
         self.on_ejected: Callable[[RelayReplica], None] = lambda replica: None
         bounds = settings.bounds
-        self.budget = SlidingRetryBudget(
+        self.retry_budget = SlidingRetryBudget(
             RetryAllowance(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s), clock()
         )
-        self.daemons = ASSUMED_DAEMONS
+        self.daemon_count = ASSUMED_DAEMON_COUNT
         #: Tells this start of the process from others.
-        self.life = generator.getrandbits(LIFE_BITS)
-        self.reach = ZoneReachability(settings.zone)
-        self.zones = ZoneOutageHandler(self)
-        self.choice = ReplicaSelector(self)
+        self.start_id = generator.getrandbits(START_ID_BITS)
+        self.zone_reachability = ZoneReachability(settings.zone)
+        self.zone_outage_handler = ZoneOutageHandler(self)
+        self.replica_selector = ReplicaSelector(self)
         self.crashes = CrashTracker(settings.node_id, clock)
-        self._refused_documents = LogRateLimit()
+        self._refused_documents_log_limit = LogRateLimit()
         self.limits = LimitRegistry(self)
         #: Requests that wait for places of limited replicas, by service.
-        self.place_queues: defaultdict[str, PermitQueue] = defaultdict(PermitQueue)
+        self.permit_queues: defaultdict[str, PermitQueue] = defaultdict(PermitQueue)
         self.notices = NoticeRegistry(self)
-        self.quotas = QuotaLedger(bounds.quota, self.life)
+        self.quotas = QuotaLedger(bounds.quota, self.start_id)
         self._engine_speeds: defaultdict[str, EngineSpeed] = defaultdict(EngineSpeed)
         #: Seconds of a run for each token that its caller allows out, as measured lately.
-        self.token_s = FIRST_TOKEN_S
+        self.run_s_per_token = INITIAL_RUN_S_PER_TOKEN
         #: Seconds of a run, as measured lately.
-        self.mean_run_s = FIRST_RUN_S
+        self.mean_run_s = INITIAL_MEAN_RUN_S
 
     def install_table(self, table: RoutingTable) -> bool:
         """Put a newer configuration in force; False when it is not newer."""
-        current = self.table.version if self.table else -1
+        current = self.routing_table.version if self.routing_table else -1
         if table.version <= current:
             return False
-        self.table = table
+        self.routing_table = table
         self.cache_stores.install(table)
         limits = {item.name: item.limit for item in table.tenants if item.limit is not None}
         self.quotas.install(limits, self.clock())
         self.splits.forget_except(table.routes)
         return True
 
-    def store_choices(self, service: str, prompt: Prompt) -> dict[str, CacheStoreChoice]:
+    def cache_store_choices(self, service: str, prompt: Prompt) -> dict[str, CacheStoreChoice]:
         """Return the store that keeps a prompt's family in each region that has one."""
         homes = self.cache_stores.stores_by_region(prompt, self.settings.regions)
         return {
@@ -151,7 +151,7 @@
         }
 
     @property
-    def keys_fresh(self) -> bool:
+    def api_keys_fresh(self) -> bool:
         """Whether a key that the table holds cannot have been revoked too long ago."""
         bounds = self.settings.bounds
         if not bounds.fail_closed:
@@ -162,7 +162,7 @@
     @property
     def ready(self) -> bool:
         """Whether this process wants callers."""
-        return not self.stopping and self.table is not None and self.zones.can_keep_serving
+        return not self.stopping and self.routing_table is not None and self.zone_outage_handler.can_keep_serving
 
     def choose_service(self, route: Route) -> str:
         """Return the service whose turn it is, or another part when it has no replica."""
@@ -174,21 +174,21 @@
                 return share.service
         return chosen
 
-    def note_kept(self, replica: RelayReplica, keys: list[int]) -> None:
+    def record_cached_parts(self, replica: RelayReplica, keys: list[int]) -> None:
         """Record parts that a replica has read for this daemon."""
         news = self.parts.record_cached(keys, replica.order_hash, self.clock())
         if news:
-            self.kept_news.add(replica.order_hash, news)
+            self.cached_parts_backlog.add(replica.order_hash, news)
 
-    def note_peer_kept(self, replica_hash: int, keys: tuple[int, ...]) -> None:
+    def record_peer_cached_parts(self, replica_hash: int, keys: tuple[int, ...]) -> None:
         """Record parts that a replica has read for another daemon."""
         self.parts.record_cached(keys, replica_hash, self.clock())
 
-    def note_run(self, output_tokens: int, run_s: float) -> None:
+    def record_run(self, output_tokens: int, run_s: float) -> None:
         """Learn how long runs take by the tokens that they may put out."""
         self.mean_run_s += RUN_WEIGHT * (run_s - self.mean_run_s)
         if output_tokens > 0:
-            self.token_s += RUN_WEIGHT * (run_s / output_tokens - self.token_s)
+            self.run_s_per_token += RUN_WEIGHT * (run_s / output_tokens - self.run_s_per_token)
 
     def install_listing(self, listing: ReplicaListing) -> None:
         """Take in what the platform's list says of a replica; newer weights end its load."""
@@ -200,39 +200,39 @@
             self.notices.adopt(replica)
             self.limits.mark_listed(replica)
 
-    def note_version(self, replica: RelayReplica, model: str, version: int) -> None:
+    def record_version(self, replica: RelayReplica, model: str, version: int) -> None:
         """Record a replica's weights version; newer weights have emptied its cache."""
         if version > replica.versions.get(model, 0):
             replica.versions[model] = version
 
-    def note_refused_version(self, replica: RelayReplica, model: str, refused: int) -> bool:
+    def record_refused_version(self, replica: RelayReplica, model: str, refused: int) -> bool:
         """Record that a replica refused a request for one version; True when it may be asked again.
 
         Versions only rise, so it has at least the next number. Nothing lowers a believed version,
         and a replica believed to be newer than it is would refuse everything and never be loaded.
         """
-        history = self.versions.get(model)
+        history = self.weights_versions.get(model)
         if history is None or refused >= history.newest:
             return False
         replica.versions[model] = max(refused + 1, replica.versions.get(model, 0))
         return True
 
-    def note_refused_document(self, key: str, failure: Failure) -> None:
+    def record_refused_document(self, key: str, failure: Failure) -> None:
         """Count an entry of the store that cannot be read, and log some: many may be written."""
         self.metrics.documents_refused.inc()
-        if self._refused_documents.allows(self.clock()):
+        if self._refused_documents_log_limit.allows(self.clock()):
             log_event("document_refused", "WARNING", key=key, reason=failure.reason)
 
-    def note_superseded(self, replica: RelayReplica, by: str = "") -> None:
+    def mark_superseded(self, replica: RelayReplica, by: str = "") -> None:
         """Record that another incarnation answers at a replica's address, ``by`` if it said so."""
         self.fleet.record_other_answered(replica, by)
         self.crashes.record_crash(replica, CrashEvidence.REPLACED)
 
-    def note_failure(self, replica: RelayReplica, reason: str, *, certain: bool = False) -> None:
+    def record_failure(self, replica: RelayReplica, reason: str, *, certain: bool = False) -> None:
         """Record a replica's failure; log when it is now left alone for a while."""
         now_s = self.clock()
         if certain:
-            self.reach.record_failure(replica.listing.zone, replica.order_hash, now_s)
+            self.zone_reachability.record_failure(replica.listing.zone, replica.order_hash, now_s)
         if replica.record_failure(now_s, certain=certain):
             log_event(
                 "replica_ejected",
@@ -243,19 +243,19 @@
             )
             self.on_ejected(replica)
 
-    def note_accusation(self, replica_hash: int, accuser: str) -> None:
+    def record_failure_report(self, replica_hash: int, reporter: str) -> None:
         """Record that a peer has ejected a replica; log when it is now left alone here as well."""
         now_s = self.clock()
         for replica in self.fleet.replicas():
             if replica.order_hash != replica_hash:
                 continue
-            self.reach.record_failure(replica.listing.zone, replica_hash, now_s)
-            if replica.record_failure_report(accuser, now_s):
+            self.zone_reachability.record_failure(replica.listing.zone, replica_hash, now_s)
+            if replica.record_failure_report(reporter, now_s):
                 log_event(
                     "replica_ejected",
                     replica=replica.replica_id,
                     reason="peers have ejected it",
-                    told_by=accuser,
+                    told_by=reporter,
                     for_s=replica.ejected_until_s - now_s,
                 )
 
@@ -268,7 +268,7 @@
 
         They copy from each other, or from a store whose link may be slower.
         """
-        known = self.table.services.get(service) if self.table else None
+        known = self.routing_table.services.get(service) if self.routing_table else None
         engine = known.engine if known else None
         if engine is None or not engine.token_bytes:
             return 0.0
@@ -277,20 +277,20 @@
             link_mbps = self.cache_stores.link_mbps(store, link_mbps)
         return link_mbps * BYTES_PER_S_PER_MBPS / engine.token_bytes
 
-    def cache_tokens(self, service: str) -> int:
+    def cache_capacity_tokens(self, service: str) -> int:
         """Return the tokens that each of the service's replicas has memory for; 0 if not known."""
-        known = self.table.services.get(service) if self.table else None
+        known = self.routing_table.services.get(service) if self.routing_table else None
         return known.engine.cache_tokens if known and known.engine else 0
 
     def is_configured(self, service: str) -> bool:
         """Whether the configuration names a service; without one, nothing is known against it."""
-        return self.table is None or service in self.table.services
+        return self.routing_table is None or service in self.routing_table.services
 
     def connection_limit(self, service: str) -> int:
         """Return this daemon's part of the connections that one replica takes."""
-        known = self.table.services.get(service) if self.table else None
+        known = self.routing_table.services.get(service) if self.routing_table else None
         total = known.max_connections if known else 64
-        return max(2, total // self.daemons)
+        return max(2, total // self.daemon_count)
 
 
 def _has_loaded(known: RelayReplica, listing: ReplicaListing) -> bool:
@@ -300,7 +300,7 @@
     )
 
 
-def _log_standing(change: IncarnationChange) -> None:
+def _log_incarnation_change(change: IncarnationChange) -> None:
     replica = change.replica
     log_event(
         "replica_superseded" if replica.superseded else "replica_reinstated",
--- a/winchfork/router/store_eras.py
+++ b/winchfork/router/store_eras.py
@@ -15,7 +15,7 @@
 #: The store no longer has the history that a watch is to go on from.
 STATUS_GONE = 410
 #: Names of unknown headers that are told.
-MOST_UNKNOWN_HEADERS = 20
+MAX_UNKNOWN_HEADERS = 20
 
 
 class StoreEras:
@@ -23,12 +23,12 @@
 
     def __init__(self, metrics: RouterMetrics) -> None:
         self._metrics = metrics
-        self._unknown_headers = UnknownHeaderCounter(metrics.unknown_headers, MOST_UNKNOWN_HEADERS)
+        self._unknown_headers = UnknownHeaderCounter(metrics.unknown_headers, MAX_UNKNOWN_HEADERS)
         self.newest = 0
 
-    def take(self, answer: StoreAnswer) -> None:
+    def handle_answer(self, answer: StoreAnswer) -> None:
         """Take in what an answer of the store says of the store itself."""
-        self.note(answer.era)
+        self.advance_to(answer.era)
         for name in answer.unknown_headers:
             if self._unknown_headers.count(name):
                 log_event("store_header_unknown", "WARNING", header=name)
@@ -37,10 +37,10 @@
         if answer.status == STATUS_GONE:
             log_event("store_history_lost", "WARNING", era=answer.era or None)
 
-    def note(self, era: int, *, told_by: str = "store") -> None:
+    def advance_to(self, era: int, *, reported_by: str = "store") -> None:
         """Take in an era that the store or a peer names."""
         if era <= self.newest:
             return
         before, self.newest = self.newest, era
         level = "WARNING" if before else "INFO"
-        log_event("store_era", level, era=era, before=before or None, told_by=told_by)
+        log_event("store_era", level, era=era, before=before or None, told_by=reported_by)
--- a/winchfork/router/stream_moves.py
+++ b/winchfork/router/stream_moves.py
@@ -95,7 +95,7 @@
         How long it waits at its replica is a forecast, which prompts that other daemons send at the
         same moment make too short.
         """
-        due_s = self._state.choice.weights_expire_at_s(plan.model, plan.weights_version)
+        due_s = self._state.replica_selector.weights_expire_at_s(plan.model, plan.weights_version)
         if not self._route.resumable or due_s >= self._retries.ends_at_s:
             return None
         loop = asyncio.get_running_loop()
--- a/winchfork/router/weights_exchange.py
+++ b/winchfork/router/weights_exchange.py
@@ -47,9 +47,9 @@
         known = replica.versions.get(entry.model, 0)
         replica.loading_until_s = now_s + entry.held_ms / 1000.0
         replica.load_upcoming_until_s = now_s + entry.next_ms / 1000.0
-        self._state.note_version(replica, entry.model, entry.version)
+        self._state.record_version(replica, entry.model, entry.version)
         if entry.held_ms > 0 and not was_held:
-            self._state.on_held(replica)
+            self._state.on_replica_hold(replica)
         if was_held == (entry.held_ms > 0) and entry.version <= known:
             return
         log_event(
@@ -80,7 +80,7 @@
         self._known_members = set(members)
         notes = tuple(
             VersionAgeEntry(model, named.version, int((now_s - named.received_at_s) * 1000))
-            for model, history in self._state.versions.items()
+            for model, history in self._state.weights_versions.items()
             for named in history.versions
             if not named.assumed
         )
@@ -92,7 +92,7 @@
 
         Its ages are of when it was sent; one that waited for this process to run is older.
         """
-        now_s = self._state.standstill.earliest_arrival_s(self._state.clock())
+        now_s = self._state.stall_detector.earliest_arrival_s(self._state.clock())
         for note in message.entries:
-            history = self._state.versions.setdefault(note.model, VersionHistory())
+            history = self._state.weights_versions.setdefault(note.model, VersionHistory())
             history.update_received_at(note.version, now_s - note.age_ms / 1000.0)
--- a/winchfork/router/weights_rollout.py
+++ b/winchfork/router/weights_rollout.py
@@ -28,23 +28,23 @@
 from winchfork.router.weights_exchange import WeightsExchange
 from winchfork.router.weights_announcer import WeightsAnnouncer
 
-PASS_PERIOD_S = 0.1
+POLL_PERIOD_S = 0.1
 #: Pause between reports while a replica finishes its requests and loads.
 REPORT_PERIOD_S = 0.1
 #: Time for peers to hear of a hold, and the longest wait for prompts already sent to be read:
 #: a replica refuses what has not begun when it takes the order.
-HOLD_NOTICE_S = 0.03
-READ_PATIENCE_S = 0.6
+HOLD_PROPAGATION_S = 0.03
+MAX_PREFILL_WAIT_S = 0.6
 #: A replica that has taken no order for this long is left until the next pass; one that has taken
 #: an order is waited for longer: its longest answer ends first.
-ORDER_PATIENCE_S = 4.0
-LOAD_PATIENCE_S = 12.0
+MAX_ORDER_WAIT_S = 4.0
+MAX_LOAD_WAIT_S = 12.0
 #: After this many reports in a row without an answer the replica's turn goes to another.
-MOST_UNHEARD = 3
+MAX_FAILED_REPORTS = 3
 #: Reports lag behind by some hundred milliseconds.
 REPORT_LAG_S = 0.35
 #: At a planned stop, replicas under order are waited for this long.
-STOP_PATIENCE_S = 2.0
+MAX_STOP_WAIT_S = 2.0
 
 
 class WeightsRollout:
@@ -65,35 +65,35 @@
         self._under_order: dict[str, asyncio.Task[None]] = {}
         self._stopping = False
         self._pace = LoadPace(state.settings.bounds.weights_s)
-        self._notes = WeightsAnnouncer(news.broadcast_weights, state.clock)
+        self._announcements = WeightsAnnouncer(news.broadcast_weights, state.clock)
 
     async def run(self) -> None:
         """Look for work until cancelled."""
         while not self._stopping:
-            await asyncio.sleep(PASS_PERIOD_S)
+            await asyncio.sleep(POLL_PERIOD_S)
             if self._leadership.may_act():
-                for model in list(self._state.versions):
-                    self._pass(model)
+                for model in list(self._state.weights_versions):
+                    self._run_pass(model)
 
     async def stop(self) -> None:
         """Begin nothing new; wait for the replicas under order, then hand the leadership over."""
         self._stopping = True
         self._leadership.withdraw()
         if self._under_order:
-            await asyncio.wait(self.orders_under_way(), timeout=STOP_PATIENCE_S)
-        for task in self.orders_under_way():
+            await asyncio.wait(self.active_tasks(), timeout=MAX_STOP_WAIT_S)
+        for task in self.active_tasks():
             task.cancel()
-        self._notes.flush()
+        self._announcements.flush()
         resignation = await self._leadership.resign()
         if resignation is not None:
             self._peers.broadcast(resignation)
 
-    def orders_under_way(self) -> list[asyncio.Task[None]]:
+    def active_tasks(self) -> list[asyncio.Task[None]]:
         """Return the tasks that bring replicas to a version."""
         return list(self._under_order.values())
 
-    def _pass(self, model: str) -> None:
-        history = self._state.versions[model]
+    def _run_pass(self, model: str) -> None:
+        history = self._state.weights_versions[model]
         self._state.fleet.refresh()
         replicas = [
             replica
@@ -109,7 +109,7 @@
             self._begin(replica_id, model)
 
     def _view(self, replica: RelayReplica, model: str, now_s: float) -> LoadingReplica:
-        due_s = self._state.choice.weights_expire_at_s(model, replica.versions[model])
+        due_s = self._state.replica_selector.weights_expire_at_s(model, replica.versions[model])
         overdue = now_s + START_MARGIN_S >= due_s
         # One that wants no requests is ordered after its backoff, unless it may run none before.
         is_left_alone = now_s < replica.ejected_until_s or (
@@ -127,30 +127,30 @@
     def _prepare(self, replica_id: str, model: str) -> None:
         replica = self._state.fleet.get(replica_id)
         if replica is not None:
-            self._notes.prepare(replica, model, self._leadership.fence)
+            self._announcements.prepare(replica, model, self._leadership.fence)
 
     def _begin(self, replica_id: str, model: str) -> None:
         replica = self._state.fleet.get(replica_id)
         if replica is None:
             return
-        task = asyncio.get_running_loop().create_task(self._bring(replica, model))
+        task = asyncio.get_running_loop().create_task(self._bring_up_to_date(replica, model))
         self._under_order[replica_id] = task
         task.add_done_callback(lambda _: self._under_order.pop(replica_id, None))
 
-    async def _bring(self, replica: RelayReplica, model: str) -> None:
+    async def _bring_up_to_date(self, replica: RelayReplica, model: str) -> None:
         """Bring one replica to the newest version, or give up until the next pass."""
-        version = self._state.versions[model].newest
+        version = self._state.weights_versions[model].newest
         begun_s = self._state.clock()
         fence = self._leadership.fence
-        await self._quieten(replica, model, fence)
+        await self._hold_new_requests(replica, model, fence)
         ordered = False
         unheard = 0
-        while self._goes_on(replica, begun_s, ordered):
+        while self._should_continue(replica, begun_s, ordered):
             report = await self._report(replica)
             if isinstance(report, Failure):
                 unheard += 1
-                if unheard >= MOST_UNHEARD:
-                    self._state.note_failure(replica, report.reason, certain=True)
+                if unheard >= MAX_FAILED_REPORTS:
+                    self._state.record_failure(replica, report.reason, certain=True)
                     break
             elif report.is_of_another_incarnation(replica.listing.started_at_ms):
                 break
@@ -158,22 +158,22 @@
                 unheard = 0
                 held = report.versions.get(model, 0)
                 if held >= version and not report.busy:
-                    self._state.note_version(replica, model, held)
+                    self._state.record_version(replica, model, held)
                     if ordered:
                         self._pace.record_load(self._state.clock() - begun_s)
                     break
                 if not ordered and not report.busy:
                     # A newer one may have been named since this turn began.
-                    version = self._state.versions[model].newest
+                    version = self._state.weights_versions[model].newest
                     ordered = await self._order(replica, model, version, report)
             fence = max(fence, self._leadership.fence)
-            self._notes.hold(replica, model, fence, has_order=ordered)
+            self._announcements.hold(replica, model, fence, has_order=ordered)
             await asyncio.sleep(REPORT_PERIOD_S)
         else:
             log_event("rollout_postponed", "WARNING", replica=replica.replica_id, version=version)
-        self._notes.release(replica, model, fence)
+        self._announcements.release(replica, model, fence)
 
-    def _goes_on(self, replica: RelayReplica, begun_s: float, ordered: bool) -> bool:
+    def _should_continue(self, replica: RelayReplica, begun_s: float, ordered: bool) -> bool:
         """Whether to look again: after an order that may be carried out, also without the lease.
 
         Only giving orders needs the leadership. A replica that has taken one refuses requests until
@@ -185,17 +185,17 @@
             return False
         waited_s = self._state.clock() - begun_s
         if ordered:
-            return waited_s < LOAD_PATIENCE_S
+            return waited_s < MAX_LOAD_WAIT_S
         may_order = not replica.superseded and self._leadership.may_act()
-        return waited_s < ORDER_PATIENCE_S and may_order
+        return waited_s < MAX_ORDER_WAIT_S and may_order
 
-    async def _quieten(self, replica: RelayReplica, model: str, fence: int) -> None:
+    async def _hold_new_requests(self, replica: RelayReplica, model: str, fence: int) -> None:
         """Keep new requests away, and let those that were sent begin."""
-        self._notes.hold(replica, model, fence)
-        await asyncio.sleep(HOLD_NOTICE_S)
-        until_s = self._state.clock() + READ_PATIENCE_S
+        self._announcements.hold(replica, model, fence)
+        await asyncio.sleep(HOLD_PROPAGATION_S)
+        until_s = self._state.clock() + MAX_PREFILL_WAIT_S
         while replica.queued_prefill_tokens and self._state.clock() < until_s:
-            await asyncio.sleep(HOLD_NOTICE_S)
+            await asyncio.sleep(HOLD_PROPAGATION_S)
 
     async def _order(
         self, replica: RelayReplica, model: str, version: int, report: ReplicaReport
@@ -212,7 +212,7 @@
         outcome = await self._control.order(
             replica.listing.address,
             order,
-            self._leadership.may_order,
+            self._leadership.authorize_order,
             functools.partial(self._state.notices.record, replica),
         )
         log_event(
@@ -226,18 +226,18 @@
             outcome=outcome.kind.value if isinstance(outcome, Failure) else outcome.value,
         )
         if outcome is OrderOutcome.OTHER_REPLICA:
-            self._state.note_superseded(replica)
+            self._state.mark_superseded(replica)
         if outcome is OrderOutcome.FENCED:
-            self._leadership.note_refused_fence(order.fence)
+            self._leadership.record_refused_fence(order.fence)
         if isinstance(outcome, Failure):
-            return outcome.ran is not RunState.NOT_RUN and await self._was_taken(replica, report)
+            return outcome.ran is not RunState.NOT_RUN and await self._was_accepted(replica, report)
         return outcome in (OrderOutcome.TAKEN, OrderOutcome.ALREADY_SO)
 
     async def _report(self, replica: RelayReplica) -> ReplicaReport | Failure:
         on_notice = functools.partial(self._state.notices.record, replica)
         return await self._control.report(replica.listing.address, on_notice)
 
-    async def _was_taken(self, replica: RelayReplica, before: ReplicaReport) -> bool:
+    async def _was_accepted(self, replica: RelayReplica, before: ReplicaReport) -> bool:
         """Ask whether an order without an answer has been taken; it may still come later."""
         await asyncio.sleep(REPORT_LAG_S)
         report = await self._report(replica)
--- a/winchfork/router/work_exchange.py
+++ b/winchfork/router/work_exchange.py
@@ -97,7 +97,7 @@
         """Tell what is news, and add up what was heard."""
         view = self._peers.view
         loads = self._own_loads(now_s)
-        kept = _pop_from_backlog(self._state.kept_news, MAX_CACHED_PARTS)
+        kept = _pop_from_backlog(self._state.cached_parts_backlog, MAX_CACHED_PARTS)
         self._send_scheduled = False
         self._quotas.tick(now_s)
         quota = self._quotas.own_report(now_s)
@@ -145,8 +145,8 @@
         """Find out which zones are out of reach: hubs for their zone, in a small fleet each."""
         if view.is_full_mesh or view.is_hub:
             silence_s = DIRECT_SILENCE_S if view.is_full_mesh else SILENCE_TIMEOUT_S
-            reach = self._state.reach
-            self._state.zones.update_reachability(
+            reach = self._state.zone_reachability
+            self._state.zone_outage_handler.update_reachability(
                 reach.detect_unreachable(now_s, silence_s),
                 is_isolated=reach.detect_isolated(now_s, ISOLATED_SILENCE_S),
             )
@@ -167,7 +167,7 @@
         loads = self._hub_sent_loads.updates(fleet, complete=complete)
         quota = self._quotas.zone_report(now_s)
         levels = self._quotas.levels(now_s, complete=complete)
-        unreachable = tuple(sorted(self._state.reach.unreachable(now_s)))
+        unreachable = tuple(sorted(self._state.zone_reachability.unreachable(now_s)))
         message = FleetWork(
             self._own_id,
             complete,
@@ -175,7 +175,7 @@
             (*zone_kept, *far_kept),
             levels,
             unreachable,
-            self._state.reach.is_isolated(now_s),
+            self._state.zone_reachability.is_isolated(now_s),
         )
         is_news = bool(loads or message.cached or unreachable != self._sent_unreachable)
         if complete:
@@ -218,7 +218,7 @@
         """Take in what another zone does."""
         now_s = self._state.clock()
         self._zones[message.zone] = ReceivedLoads(now_s, message.loads)
-        self._state.reach.record_message(message.zone, now_s)
+        self._state.zone_reachability.record_message(message.zone, now_s)
         self._regions.record_zone(message)
         self._record_cached(message.cached)
         self._quotas.handle_zone(message.sender_id, message.zone, message.quota, message.levels)
@@ -231,7 +231,7 @@
         now_s = self._state.clock()
         for zone in self._peers.view.hubs:
             if self._state.settings.regions.region_of(zone) == message.region:
-                self._state.reach.record_message(zone, now_s)
+                self._state.zone_reachability.record_message(zone, now_s)
         self._has_updates = True
 
     def _mark_zone_reached(self, sender_id: str, now_s: float) -> None:
@@ -239,7 +239,7 @@
         if self._peers.view.is_full_mesh:
             for member in self._peers.view.members:
                 if member.member_id == sender_id:
-                    self._state.reach.record_message(member.zone, now_s)
+                    self._state.zone_reachability.record_message(member.zone, now_s)
 
     def handle_fleet(self, message: FleetWork) -> None:
         """Take in what all daemons do; what the speaking hub has told, another need not."""
@@ -250,7 +250,7 @@
         if message.levels is not None:
             self._quotas.handle_fleet(message.levels)
         if not self._peers.view.is_hub:
-            self._state.zones.update_reachability(message.unreachable_zones, is_isolated=message.is_isolated)
+            self._state.zone_outage_handler.update_reachability(message.unreachable_zones, is_isolated=message.is_isolated)
         if self._peers.view.is_hub:
             for told in message.cached:
                 self._zone_cached.discard(told.replica_hash, told.parts)
@@ -259,7 +259,7 @@
 
     def _record_cached(self, entries: Iterable[CachedPartsEntry]) -> None:
         for note in entries:
-            self._state.note_peer_kept(note.replica_hash, note.parts)
+            self._state.record_peer_cached_parts(note.replica_hash, note.parts)
 
     def _fresh(self, received: dict[str, ReceivedLoads], now_s: float) -> list[ReceivedLoads]:
         for sender in [key for key, item in received.items() if item.is_expired(now_s)]:
--- a/winchfork/router/zone_outage_handler.py
+++ b/winchfork/router/zone_outage_handler.py
@@ -30,21 +30,21 @@
         the entry needs some seconds to send callers elsewhere. When only the store is away, there
         is no elsewhere.
         """
-        if not self._state.keys_fresh:
+        if not self._state.api_keys_fresh:
             return False
         now_s = self._state.clock()
         expiring = self._state.freshness.age_s(now_s) > ISOLATED_AGE_S
-        return not (expiring and self._state.reach.is_isolated(now_s))
+        return not (expiring and self._state.zone_reachability.is_isolated(now_s))
 
     def update_reachability(self, zones: Iterable[str], *, is_isolated: bool) -> None:
         """Take in which zones cannot be reached; those that can be again start afresh."""
         now_s = self._state.clock()
-        before = self._state.reach.unreachable(now_s)
-        lost = self._state.reach.adopt(zones, now_s, is_isolated=is_isolated)
+        before = self._state.zone_reachability.unreachable(now_s)
+        lost = self._state.zone_reachability.adopt(zones, now_s, is_isolated=is_isolated)
         for zone in sorted(lost):
             log_event("zone_lost", "WARNING", zone=zone)
-            self._state.on_zone_lost(zone)
-        for zone in sorted(before - self._state.reach.unreachable(now_s)):
+            self._state.on_zone_unreachable(zone)
+        for zone in sorted(before - self._state.zone_reachability.unreachable(now_s)):
             log_event("zone_regained", zone=zone)
             self._clear_ejections(zone, now_s)
 
