--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -21,7 +21,7 @@
 from winchfork.core.sliding_retry_budget import RetryAllowance, SlidingRetryBudget
 from winchfork.emulator.free_ports import free_port, free_ports
 from winchfork.errors import Failure
-from winchfork.platform.parts import platform_parts
+from winchfork.platform.adapters import platform_adapters
 from winchfork.platform.settings import parse_settings
 from winchfork.router.process import RouterProcess
 from winchfork.router.settings import RouterSettings
@@ -212,7 +212,7 @@
         if isinstance(settings, Failure):
             raise ValueError(str(settings))
         settings = msgspec.structs.replace(settings, metrics_address=f"{settings.machine_ip}:0")
-        router = RouterProcess(settings, platform_parts(), lambda: settings)
+        router = RouterProcess(settings, platform_adapters(), lambda: settings)
         self.settings.append(settings)
         self.routers.append(router)
         self.tasks.append(asyncio.create_task(router.run()))
--- a/tests/entry_fuzz.py
+++ b/tests/entry_fuzz.py
@@ -20,7 +20,7 @@
 from tests.test_platform_documents import CONFIGURATION, REPLICA
 from tests.virtual_loop import run_virtually
 from winchfork.logs import configure_logs
-from winchfork.platform.documents import PlatformDocuments
+from winchfork.platform.documents import PlatformDocumentCodec
 from winchfork.router.leader_entry import LEADER_KEY
 from winchfork.router.leadership import Leadership
 from winchfork.router.settings import RouterSettings
@@ -90,7 +90,7 @@
         self.state = RouterState(settings, loop.time, self.generator)
         leadership = Leadership(self.store, "n1", 3.0, loop.time, self.generator, 1.0)
         self._sync = StoreSync(
-            self.state, self.store, PlatformDocuments(), leadership, self.generator
+            self.state, self.store, PlatformDocumentCodec(), leadership, self.generator
         )
 
     async def run(self) -> None:
--- a/tests/peer_support.py
+++ b/tests/peer_support.py
@@ -13,7 +13,7 @@
 from winchfork.core.relay_replica import ReplicaListing
 from winchfork.core.store_position import StorePosition
 from winchfork.errors import Failure, FailureKind
-from winchfork.platform.documents import PlatformDocuments
+from winchfork.platform.documents import PlatformDocumentCodec
 from winchfork.router.leadership import Leadership
 from winchfork.router.peer_wiring import connect_peers
 from winchfork.router.peers import PeerGroup
@@ -152,7 +152,7 @@
             self.store, settings.node_id, 3.0, loop.time, random.Random(number), 1.0
         )
         self.sync = StoreSync(
-            self.state, self.store, PlatformDocuments(), self.leadership, random.Random(number)
+            self.state, self.store, PlatformDocumentCodec(), self.leadership, random.Random(number)
         )
         self.parts = connect_peers(self.state, self.peers, self.sync, self.leadership)
         self.weights = self.parts.weights
--- a/tests/relay_support.py
+++ b/tests/relay_support.py
@@ -19,7 +19,7 @@
     ServiceShare,
     TenantPolicy,
 )
-from winchfork.platform.headers import PlatformDialect
+from winchfork.platform.headers import PlatformHeaderCodec
 from winchfork.router.caller_connection import CallerConnection
 from winchfork.router.connection_pool import ConnectionPool
 from winchfork.router.service import RouterService
@@ -192,7 +192,7 @@
         loop = asyncio.get_running_loop()
         self.state = RouterState(settings, loop.time, random.Random(1))
         self.pool = ConnectionPool()
-        self.service = RouterService(self.state, self.pool, PlatformDialect())
+        self.service = RouterService(self.state, self.pool, PlatformHeaderCodec())
         self._server: asyncio.Server | None = None
         self.port = 0
 
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -21,7 +21,7 @@
 from winchfork.core.relay_replica import RelayReplica
 from winchfork.core.software_plan import ExposureLimits
 from winchfork.core.software_state import SoftwareState
-from winchfork.platform.documents import PlatformDocuments
+from winchfork.platform.documents import PlatformDocumentCodec
 from winchfork.router.settings import RouterBounds
 from winchfork.router.software_rollout import SoftwareRollout
 
@@ -127,7 +127,7 @@
             daemon.state,
             daemon.leadership,
             daemon.store,
-            PlatformDocuments(),
+            PlatformDocumentCodec(),
             daemon.parts.evidence,
         )
         daemon.tasks.append(asyncio.create_task(duty.run()))
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -11,7 +11,7 @@
     def test_kinds_that_arise_during_execution_never_default_to_not_run(self) -> None:
         for kind in (
             FailureKind.INTERNAL,
-            FailureKind.BACKEND_BROKE,
+            FailureKind.BACKEND_FAILED,
             FailureKind.STREAM_BROKEN,
             FailureKind.DEADLINE_EXCEEDED,
             FailureKind.CALLER_LEFT,
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -201,13 +201,13 @@
         store = EtcdJsonStore(HttpClient(), [self.fleet.emulated.platform.address])
         now_s = [0.0]
         leader = Leadership(store, "/leader", "one", clock=lambda: now_s[0])
-        fence = leader.hold()
+        fence = leader.acquire_or_renew()
         self.assertGreater(fence, 0)
         self.assertTrue(leader.still_valid())
         now_s[0] += 5.0
         self.assertFalse(leader.still_valid())
         other = Leadership(store, "/leader", "two")
-        self.assertEqual(other.hold(), 0)
+        self.assertEqual(other.acquire_or_renew(), 0)
 
     def test_weights_changed_in_mid_queue_are_noticed_and_nothing_old_is_reused(self) -> None:
         prompt = "a prompt that is cached under old weights " * 400
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -15,7 +15,7 @@
 from tests.test_store_sync import Followed, follow
 from winchfork.core.relay_replica import ReplicaListing
 from winchfork.logs import configure_logs
-from winchfork.platform.documents import PlatformDocuments
+from winchfork.platform.documents import PlatformDocumentCodec
 from winchfork.router.documents import UnreadableReplica
 from winchfork.router.leader_entry import LEADER_KEY
 from winchfork.stores.async_key_value import StoreItem
@@ -26,7 +26,7 @@
 
 def read(entry: object) -> object:
     """Return what an entry of a replica is taken for."""
-    return PlatformDocuments().read(StoreItem("servers/i-1", json.dumps(entry).encode(), 1))
+    return PlatformDocumentCodec().read(StoreItem("servers/i-1", json.dumps(entry).encode(), 1))
 
 
 class ReplicaEntryTest(unittest.TestCase):
--- a/tests/test_forwarded_headers.py
+++ b/tests/test_forwarded_headers.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterator
 
 from winchfork.platform import names
-from winchfork.platform.forwarded_headers import forwarded_headers, may_pass
-from winchfork.platform.headers import PlatformDialect
+from winchfork.platform.forwarded_headers import forwarded_headers, is_forwardable
+from winchfork.platform.headers import PlatformHeaderCodec
 from winchfork.platform.names import HEADER_OWNERS, HeaderOwner
 from winchfork.router.header_codec import DispatchFields
 from winchfork.router.http_types import Headers
@@ -40,7 +40,7 @@
 class ForwardedHeadersTest(unittest.TestCase):
     def _dispatched(self, request: Headers, forged: Headers) -> Headers:
         fields = DispatchFields(deadline_s=1.5, replica_id="i-7f3a91c2", tenant="jeye930")
-        return PlatformDialect().dispatch_headers(request + forged, fields)
+        return PlatformHeaderCodec().dispatch_headers(request + forged, fields)
 
     def test_every_header_name_of_the_module_has_an_owner(self) -> None:
         listed = set(HEADER_OWNERS)
@@ -62,8 +62,8 @@
 
     def test_a_resumed_run_cannot_be_forged(self) -> None:
         """A replica without the copy that a forged source names refuses the request."""
-        self.assertFalse(may_pass(b"Kv-From"))
-        self.assertFalse(may_pass(b"kv-from"))
+        self.assertFalse(is_forwardable(b"Kv-From"))
+        self.assertFalse(is_forwardable(b"kv-from"))
 
     def test_what_callers_own_travels_on_unchanged(self) -> None:
         for name in names_of(HeaderOwner.CALLER):
@@ -72,7 +72,7 @@
 
     def test_headers_of_no_protocol_travel_on(self) -> None:
         for name in (b"Accept", b"Content-Type", b"Cache-Control", b"X-Trace", b"Traceparent"):
-            self.assertTrue(may_pass(name), name)
+            self.assertTrue(is_forwardable(name), name)
 
     def test_connection_cannot_remove_a_header_of_the_wire(self) -> None:
         headers: Headers = [*PROMPT, (b"Connection", b"X-Model, X-Private"), (b"X-Private", b"1")]
--- a/tests/test_gateway_suspension.py
+++ b/tests/test_gateway_suspension.py
@@ -39,7 +39,7 @@
     def test_a_leader_that_slept_past_its_lease_leads_no_more(self) -> None:
         for slept_s in _SLEEPS_S:
             leader = Leadership(willing_store(), "/leader", "one")
-            self.assertTrue(leader.hold())
+            self.assertTrue(leader.acquire_or_renew())
             with asleep(slept_s):
                 self.assertEqual(leader.still_valid(), slept_s == 1.0, slept_s)
 
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -46,7 +46,7 @@
             if not isinstance(batch, WatchBatch) or self.cut:
                 await asyncio.sleep(0.1)
                 continue
-            revision = batch.at.revision
+            revision = batch.position.revision
             for item in batch.items:
                 if item.value is None:
                     self.leadership.record_no_entry(StorePosition(0, item.revision))
--- a/tests/test_place_queue.py
+++ b/tests/test_place_queue.py
@@ -22,7 +22,7 @@
     PermitOpening,
     PermitQueue,
     PermitTicket,
-    max_wait_s,
+    max_permit_wait_s,
     permit_in_s,
 )
 
@@ -89,9 +89,9 @@
         self.assertEqual(len(queue), 0)
 
     def test_patience_is_half_the_objective_or_two_places(self) -> None:
-        self.assertEqual(max_wait_s([PermitOpening(0.3, 0.1)], target_s=0.8), 0.4)
-        self.assertEqual(max_wait_s([PermitOpening(0.3, 2.0)], target_s=0.8), 4.0)
-        self.assertEqual(max_wait_s([PermitOpening(math.inf, 2.0)], target_s=0.8), 0.4)
+        self.assertEqual(max_permit_wait_s([PermitOpening(0.3, 0.1)], target_s=0.8), 0.4)
+        self.assertEqual(max_permit_wait_s([PermitOpening(0.3, 2.0)], target_s=0.8), 4.0)
+        self.assertEqual(max_permit_wait_s([PermitOpening(math.inf, 2.0)], target_s=0.8), 0.4)
 
     def test_a_long_overload_serves_in_time_what_it_serves(self) -> None:
         """Twelve places and thirty requests a second, a tenth of them urgent, for 20 s."""
@@ -111,7 +111,7 @@
                 if opens_s <= 0.0:
                     due_s[due_s.index(min(due_s))] = now_s + 1.0 / 3.0
                     waits_s[ticket.priority].append(waited_s)
-                elif opens_s > max_wait_s(openings, 0.8) - waited_s:
+                elif opens_s > max_permit_wait_s(openings, 0.8) - waited_s:
                     refused[ticket.priority] += 1
                 else:
                     continue
--- a/tests/test_platform_calls.py
+++ b/tests/test_platform_calls.py
@@ -176,8 +176,8 @@
 
     async def test_an_order_carries_fence_sequence_and_replica(self) -> None:
         statuses = {
-            "202 Taken": OrderOutcome.TAKEN,
-            "200 OK": OrderOutcome.ALREADY_SO,
+            "202 Taken": OrderOutcome.ACCEPTED,
+            "200 OK": OrderOutcome.ALREADY_LOADED,
             "409 Conflict": OrderOutcome.CONFLICT,
             "412 Fenced": OrderOutcome.FENCED,
             "421 Misdirected": OrderOutcome.OTHER_REPLICA,
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -8,7 +8,7 @@
 from winchfork.core.relay_replica import ReplicaListing
 from winchfork.core.routing import RouteKind, RoutingTable
 from winchfork.errors import Failure, FailureKind
-from winchfork.platform.documents import PlatformDocuments
+from winchfork.platform.documents import PlatformDocumentCodec
 from winchfork.router.documents import Document, ReplicaRemoved, UnreadableReplica, WeightsTarget
 from winchfork.stores.async_key_value import StoreItem
 
@@ -96,7 +96,7 @@
 
 def read(key: str, value: object) -> Document | Failure | None:
     data = value if isinstance(value, bytes) or value is None else json.dumps(value).encode()
-    return PlatformDocuments().read(StoreItem(key, data, 5))
+    return PlatformDocumentCodec().read(StoreItem(key, data, 5))
 
 
 class DocumentsTest(unittest.TestCase):
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -6,7 +6,7 @@
 
 from winchfork.core.prompt_parts import PromptPart
 from winchfork.errors import Failure
-from winchfork.platform.headers import PlatformDialect
+from winchfork.platform.headers import PlatformHeaderCodec
 from winchfork.router.header_codec import DispatchFields
 from winchfork.router.http_types import AnswerHead, Headers
 
@@ -27,7 +27,7 @@
 
 class HeadersTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.dialect = PlatformDialect()
+        self.dialect = PlatformHeaderCodec()
 
     def test_a_request_of_the_pages(self) -> None:
         fields = self.dialect.read_request(REQUEST)
--- a/tests/test_store_sync.py
+++ b/tests/test_store_sync.py
@@ -16,7 +16,7 @@
 from winchfork.core.store_position import StorePosition
 from winchfork.errors import Failure
 from winchfork.logs import configure_logs
-from winchfork.platform.documents import PlatformDocuments
+from winchfork.platform.documents import PlatformDocumentCodec
 from winchfork.router.document_installer import RELISTING_GRACE_S
 from winchfork.router.leader_entry import LEADER_KEY
 from winchfork.router.leadership import Leadership
@@ -36,7 +36,7 @@
         self.store = store
         self.state = RouterState(settings, loop.time, generator)
         self.leadership = Leadership(store, "n1", 3.0, loop.time, generator, 1.0)
-        self.sync = StoreSync(self.state, store, PlatformDocuments(), self.leadership, generator)
+        self.sync = StoreSync(self.state, store, PlatformDocumentCodec(), self.leadership, generator)
         self.task = asyncio.create_task(self.sync.run())
 
     def age_s(self) -> float:
@@ -265,7 +265,7 @@
                 revision = store.put(LEADER_KEY, b"n2")
                 entry = TableItem(LEADER_KEY, revision, b"n2")
                 update = TableUpdate(
-                    snapshot.at, StorePosition(0, revision), False, False, (entry,)
+                    snapshot.position, StorePosition(0, revision), False, False, (entry,)
                 )
                 followed.sync.install_update(update)
                 return snapshot
--- a/tests/test_tenant_quota.py
+++ b/tests/test_tenant_quota.py
@@ -26,8 +26,8 @@
     TenantQuota,
 )
 from winchfork.errors import Failure, FailureKind
-from winchfork.platform.documents import PlatformDocuments
-from winchfork.platform.headers import PlatformDialect
+from winchfork.platform.documents import PlatformDocumentCodec
+from winchfork.platform.headers import PlatformHeaderCodec
 from winchfork.platform.settings import parse_settings
 from winchfork.router.metrics import RouterMetrics
 from winchfork.router.quota_gate import QuotaCharge, QuotaGate
@@ -298,7 +298,7 @@
              "Burst": 1000},
             {"Name": "b", "RatePerS": 5, "Burst": 2}, {"Name": "c"}, {"Name": "d", "RatePerS": 0}
         ]}"""
-        table = PlatformDocuments().read(StoreItem("op/config", text, 1))
+        table = PlatformDocumentCodec().read(StoreItem("op/config", text, 1))
         assert table is not None and not isinstance(table, Failure)
         limits = [tenant.limit for tenant in getattr(table, "tenants", ())]
         self.assertEqual(limits[0], TenantLimit(297_131.0, 1_000.0, QuotaUnit.TOKENS, 200.0))
@@ -314,7 +314,7 @@
         self.assertEqual(settings.bounds.quota, QuotaTolerance(8.0, 0.1, 110_000.0))
 
     def test_a_request_declares_tokens_in_and_out(self) -> None:
-        dialect = PlatformDialect()
+        dialect = PlatformHeaderCodec()
         cases = ((b"1460,80", 1_540), (b"1460", 1_460), (None, None))
         for usage, declared in cases:
             headers = [(b"X-Request-Id", b"1")] + ([(b"X-Token-Usage", usage)] if usage else [])
--- a/tests/weights_fleet.py
+++ b/tests/weights_fleet.py
@@ -63,12 +63,12 @@
         if order.expected_sequence != self.sequence or self.next_version != self.version:
             return OrderOutcome.CONFLICT
         if order.version == self.version:
-            return OrderOutcome.ALREADY_SO
+            return OrderOutcome.ALREADY_LOADED
         self.fence = order.fence
         self.sequence += 1
         self.next_version = order.version
         self.loading_until_s = now_s + LOAD_S
-        return OrderOutcome.TAKEN
+        return OrderOutcome.ACCEPTED
 
 
 class FakeControl:
@@ -104,7 +104,7 @@
         if replica.order_answers_to_lose:
             replica.order_answers_to_lose -= 1
             loop.call_later(replica.lost_order_delay_s, lambda: replica.handle_order(order, loop.time()))
-            return FailureKind.BACKEND_BROKE.because("no answer")
+            return FailureKind.BACKEND_FAILED.because("no answer")
         outcome = replica.handle_order(order, loop.time())
         loading = sum(1 for item in self.replicas.values() if item.next_version != item.version)
         self.max_loading = max(self.max_loading, loading)
--- a/winchfork/backends/http_client.py
+++ b/winchfork/backends/http_client.py
@@ -45,7 +45,7 @@
     body: bytes = b""
     headers: Mapping[str, str] = dataclasses.field(default_factory=dict)
     timeout_s: float = 30.0
-    silence_s: float = 0.0
+    idle_timeout_s: float = 0.0
     single_use: bool = False
 
 
@@ -186,9 +186,9 @@
     handle.setopt(pycurl.TCP_NODELAY, 1)
     handle.setopt(pycurl.CONNECTTIMEOUT_MS, int(CONNECT_TIMEOUT_S * 1000))
     handle.setopt(pycurl.TIMEOUT_MS, max(1, int(request.timeout_s * 1000)))
-    if request.silence_s:
+    if request.idle_timeout_s:
         handle.setopt(pycurl.LOW_SPEED_LIMIT, 1)
-        handle.setopt(pycurl.LOW_SPEED_TIME, max(1, int(request.silence_s)))
+        handle.setopt(pycurl.LOW_SPEED_TIME, max(1, int(request.idle_timeout_s)))
     if request.single_use:
         handle.setopt(pycurl.FRESH_CONNECT, 1)
         handle.setopt(pycurl.FORBID_REUSE, 1)
@@ -206,4 +206,4 @@
         return FailureKind.BACKEND_UNREACHABLE.because(reason, ran=RunState.NOT_RUN)
     if code == pycurl.E_OPERATION_TIMEDOUT and status == 0 and "onnect" in message:
         return FailureKind.BACKEND_UNREACHABLE.because(reason, ran=RunState.NOT_RUN)
-    return FailureKind.BACKEND_BROKE.because(reason, ran=RunState.UNKNOWN)
+    return FailureKind.BACKEND_FAILED.because(reason, ran=RunState.UNKNOWN)
--- a/winchfork/backends/openai_engine.py
+++ b/winchfork/backends/openai_engine.py
@@ -22,7 +22,7 @@
     StreamStart,
 )
 from winchfork.backends.http_client import HttpAnswer, HttpClient, HttpRequest
-from winchfork.constants import ENGINE_SILENCE_TIMEOUT_S
+from winchfork.constants import ENGINE_IDLE_TIMEOUT_S
 from winchfork.core.cache_index import CacheEvent, EventKind
 from winchfork.core.fleet import ReplicaIdentity, ReplicaLoad
 from winchfork.errors import Failure, FailureKind, RunState
@@ -193,7 +193,7 @@
         json.dumps(body).encode(),
         _JSON_HEADERS,
         timeout_s=dispatch.timeout_s,
-        silence_s=ENGINE_SILENCE_TIMEOUT_S,
+        idle_timeout_s=ENGINE_IDLE_TIMEOUT_S,
     )
 
 
@@ -220,7 +220,7 @@
     except ValueError:
         body = None
     if not isinstance(body, dict):
-        return FailureKind.BACKEND_BROKE.because(f"{address} sent no JSON object")
+        return FailureKind.BACKEND_FAILED.because(f"{address} sent no JSON object")
     return body
 
 
--- a/winchfork/backends/replica_control.py
+++ b/winchfork/backends/replica_control.py
@@ -23,11 +23,11 @@
     running: int
     waiting: int
     versions: Mapping[str, int]
-    born_ms: int = 0
+    started_at_ms: int = 0
 
-    def is_of_another_incarnation(self, born_ms: int) -> bool:
+    def is_of_another_incarnation(self, started_at_ms: int) -> bool:
         """Whether an incarnation that started at another time has answered."""
-        return bool(self.born_ms and born_ms and self.born_ms != born_ms)
+        return bool(self.started_at_ms and started_at_ms and self.started_at_ms != started_at_ms)
 
 
 class WeightsOrder(msgspec.Struct, frozen=True):
@@ -48,8 +48,8 @@
 class OrderOutcome(enum.Enum):
     """What a replica said to an order."""
 
-    TAKEN = "taken"
-    ALREADY_SO = "already_so"
+    ACCEPTED = "taken"
+    ALREADY_LOADED = "already_so"
     CONFLICT = "conflict"
     FENCED = "fenced"
     OTHER_REPLICA = "other_replica"
--- a/winchfork/backends/stream_pump.py
+++ b/winchfork/backends/stream_pump.py
@@ -52,16 +52,16 @@
         self._multi.setopt(pycurl.M_SOCKETFUNCTION, self._on_socket)
         self._multi.setopt(pycurl.M_TIMERFUNCTION, self._on_timer)
         self._selector = selectors.DefaultSelector()
-        self._waker, self._woken = socket.socketpair()
-        self._woken.setblocking(False)
-        self._selector.register(self._woken, selectors.EVENT_READ)
+        self._waker, self._wake_receiver = socket.socketpair()
+        self._wake_receiver.setblocking(False)
+        self._selector.register(self._wake_receiver, selectors.EVENT_READ)
         self._inbox: collections.deque[_Transfer] = collections.deque()
         self._running: dict[pycurl.Curl, _Transfer] = {}
         self._timer_at_s: float | None = None
         self._lock = threading.Lock()
         self._thread: threading.Thread | None = None
         self._closing = False
-        self._ended = False
+        self._needs_collect = False
 
     def run(
         self, handle: pycurl.Curl, should_stop: Callable[[], Failure | None]
@@ -94,20 +94,20 @@
             now_s = boot_seconds()
             wake_s = next_check_s if self._timer_at_s is None else self._timer_at_s
             for key, mask in self._selector.select(max(0.0, min(wake_s, next_check_s) - now_s)):
-                if key.fileobj is self._woken:
-                    self._take_inbox()
+                if key.fileobj is self._wake_receiver:
+                    self._start_queued_transfers()
                 else:
-                    self._act(key.fd, mask)
+                    self._handle_socket(key.fd, mask)
             now_s = boot_seconds()
             if self._timer_at_s is not None and self._timer_at_s <= now_s:
                 self._timer_at_s = None
                 self._multi.socket_action(pycurl.SOCKET_TIMEOUT, 0)
-                self._ended = True
+                self._needs_collect = True
             if now_s >= next_check_s:
                 next_check_s = now_s + _STOP_CHECK_PERIOD_S
                 self._check_stops()
-            if self._ended:
-                self._ended = False
+            if self._needs_collect:
+                self._needs_collect = False
                 self._collect()
         for transfer in list(self._running.values()):
             self._finish(transfer, _CLOSED)
@@ -117,11 +117,11 @@
                 transfer.future.set_result(_CLOSED)
             self._selector.close()
             self._waker.close()
-            self._woken.close()
+            self._wake_receiver.close()
 
-    def _take_inbox(self) -> None:
+    def _start_queued_transfers(self) -> None:
         try:
-            self._woken.recv(4096)
+            self._wake_receiver.recv(4096)
         except BlockingIOError:
             return
         while self._inbox:
@@ -130,14 +130,14 @@
             self._multi.add_handle(transfer.handle)
         # Kicks the added handles off.
         self._multi.socket_action(pycurl.SOCKET_TIMEOUT, 0)
-        self._ended = True
+        self._needs_collect = True
 
-    def _act(self, descriptor: int, mask: int) -> None:
+    def _handle_socket(self, descriptor: int, mask: int) -> None:
         flags = pycurl.CSELECT_IN if mask & selectors.EVENT_READ else 0
         if mask & selectors.EVENT_WRITE:
             flags |= pycurl.CSELECT_OUT
         _, active = self._multi.socket_action(descriptor, flags)
-        self._ended = self._ended or active < len(self._running)
+        self._needs_collect = self._needs_collect or active < len(self._running)
 
     def _on_socket(self, event: int, descriptor: int, _multi: object, _data: object) -> None:
         known = descriptor in self._selector.get_map()
--- a/winchfork/cluster/waiting_store.py
+++ b/winchfork/cluster/waiting_store.py
@@ -8,7 +8,7 @@
 
 from winchfork.core.waiting import BatchAnswers, WaitingAnswer, WaitingBatch
 from winchfork.errors import Failure, FailureKind
-from winchfork.stores.key_value import Entry, KeyValueStore, swap_until_known
+from winchfork.stores.key_value import Entry, KeyValueStore, compare_and_swap_until_resolved
 
 _HEADS_REMEMBERED = 2_000
 
@@ -51,7 +51,7 @@
         """Write a batch; None only when it is surely stored."""
         text = batch.to_text()
         key = self._key("batches", batch.batch_id)
-        result = swap_until_known(
+        result = compare_and_swap_until_resolved(
             self._store, key, text, 0, lambda value: value == text, self._keep_trying
         )
         return result if isinstance(result, Failure) else None
--- a/winchfork/control/configuration_writer.py
+++ b/winchfork/control/configuration_writer.py
@@ -16,10 +16,10 @@
 from winchfork.core.configuration import Configuration
 from winchfork.core.documents import Document, DocumentName
 from winchfork.errors import Failure, FailureKind, RunState
-from winchfork.stores.key_value import Entry, KeyValueStore, swap_until_known
+from winchfork.stores.key_value import Entry, KeyValueStore, compare_and_swap_until_resolved
 
-_WRITERS_KEPT = 16
-_RESOLVE_S = 10.0
+_MAX_WRITER_TOKENS = 16
+_RESOLVE_TIMEOUT_S = 10.0
 _RETRY_PAUSE_S = 0.2
 
 
@@ -43,7 +43,7 @@
             )
         return self._write(configuration, current)
 
-    def change_draining(self, replica_id: str, draining: bool) -> int | Failure:
+    def set_draining(self, replica_id: str, draining: bool) -> int | Failure:
         """Add or take off one replica, whatever else operators change meanwhile."""
         while True:
             current = self._store.get(CONFIGURATION_KEY)
@@ -66,17 +66,17 @@
         writers: list[str] = json.loads(current.value)["writers"] if current else []
         text = json.dumps(
             {
-                "writers": [*writers, token][-_WRITERS_KEPT:],
+                "writers": [*writers, token][-_MAX_WRITER_TOKENS:],
                 "configuration": configuration.model_dump(mode="json"),
             }
         ).encode()
-        deadline_s = boot_seconds() + _RESOLVE_S
+        deadline_s = boot_seconds() + _RESOLVE_TIMEOUT_S
 
         def keep_trying() -> bool:
             time.sleep(_RETRY_PAUSE_S)
             return boot_seconds() < deadline_s
 
-        result = swap_until_known(
+        result = compare_and_swap_until_resolved(
             self._store,
             CONFIGURATION_KEY,
             text,
--- a/winchfork/control/leader.py
+++ b/winchfork/control/leader.py
@@ -37,7 +37,7 @@
         self._fence = 0
         self._valid_until_s = 0.0
 
-    def hold(self) -> int:
+    def acquire_or_renew(self) -> int:
         """Take or renew the leadership; return the fence, or 0 when this daemon does not lead."""
         asked_at_s = self._clock()
         if self._fence and asked_at_s < self._valid_until_s:
@@ -47,7 +47,7 @@
                 self._valid_until_s = asked_at_s + LEASE_S - _SAFETY_S
             return self._fence if self._clock() < self._valid_until_s else self._lose()
         self._lose()
-        return self._take()
+        return self._acquire()
 
     def still_valid(self) -> bool:
         """Tell, without I/O, whether the leadership is surely held; ask before each order."""
@@ -59,7 +59,7 @@
         self._fence = 0
         return 0
 
-    def _take(self) -> int:
+    def _acquire(self) -> int:
         asked_at_s = self._clock()
         held = self._store.get(self._key)
         if isinstance(held, (Failure, Entry)):
--- a/winchfork/control/rollout.py
+++ b/winchfork/control/rollout.py
@@ -20,14 +20,14 @@
 from winchfork.core.fleet import Replica, ReplicaState
 from winchfork.errors import Failure, FailureKind
 from winchfork.logs import log_event
-from winchfork.stores.key_value import Entry, KeyValueStore, swap_until_known
+from winchfork.stores.key_value import Entry, KeyValueStore, compare_and_swap_until_resolved
 
 _PREFIX = "/winchfork/rollouts/"
 _LEADER_KEY = "/winchfork/leaders/rollout"
-_PASS_PERIOD_S = 0.5
+_RECONCILE_PERIOD_S = 0.5
 _LOADERS = 16
 #: A replica with running work is waited for this long before it is ordered to load.
-_QUIET_WAIT_S = 20.0
+_DRAIN_TIMEOUT_S = 20.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -39,7 +39,7 @@
     max_loading: int
 
 
-class RolloutDesk:
+class RolloutManager:
     """Records rollouts and, on the leading daemon, carries them out."""
 
     def __init__(self, node: PeerNode, store: KeyValueStore, engine: EnginePort) -> None:
@@ -68,7 +68,7 @@
             )
         target = RolloutTarget(pool, weights_version, max_loading)
         text = json.dumps(dataclasses.asdict(target)).encode()
-        result = swap_until_known(
+        result = compare_and_swap_until_resolved(
             self._store,
             _PREFIX + pool,
             text,
@@ -91,9 +91,9 @@
 
     def run(self) -> None:
         """Reconcile until stopped; the body of one thread."""
-        while not self._stopping.wait(_PASS_PERIOD_S):
+        while not self._stopping.wait(_RECONCILE_PERIOD_S):
             try:
-                self._pass()
+                self._reconcile()
             except Exception as error:  # noqa: BLE001 - a surprise must not end the duty
                 log_event("rollout_pass_failed", "ERROR", error=repr(error))
 
@@ -102,13 +102,13 @@
         self._stopping.set()
         self._loaders.shutdown(wait=False, cancel_futures=True)
 
-    def _pass(self) -> None:
+    def _reconcile(self) -> None:
         if not self._node.is_relay("rollout", 1):
             return
         targets = self._store.list(_PREFIX)
         if isinstance(targets, Failure) or not targets:
             return
-        self._fence = self._leadership.hold()
+        self._fence = self._leadership.acquire_or_renew()
         if not self._fence:
             return
         for entry in targets:
@@ -116,7 +116,7 @@
 
     def _advance(self, entry: Entry) -> None:
         target = RolloutTarget(**json.loads(entry.value))
-        pending = [replica for replica in self._replicas(target) if not _has(replica, target)]
+        pending = [replica for replica in self._replicas(target) if not _has_target_version(replica, target)]
         for replica in pending:
             running = self._loading.get(replica.replica_id)
             if running is not None and not running.done():
@@ -146,7 +146,7 @@
             was_accepting = replica.state is ReplicaState.ACCEPTING
             if was_accepting:
                 replica.state = ReplicaState.LEAVING
-        self._wait_until_quiet(replica)
+        self._wait_until_idle(replica)
         order = EngineOrder(OrderKind.LOAD_WEIGHTS, fence, version=target.weights_version)
         result = self._engine.order(replica.address, order)
         self._engine.order(replica.address, EngineOrder(OrderKind.SET_ROLE, fence, role="serving"))
@@ -162,8 +162,8 @@
             result="failed" if isinstance(result, Failure) else "loaded",
         )
 
-    def _wait_until_quiet(self, replica: Replica) -> None:
-        deadline_s = boot_seconds() + _QUIET_WAIT_S
+    def _wait_until_idle(self, replica: Replica) -> None:
+        deadline_s = boot_seconds() + _DRAIN_TIMEOUT_S
         while boot_seconds() < deadline_s and not self._stopping.wait(0.1):
             report = self._engine.report(replica.address, 1 << 60)
             if isinstance(report, Failure):
@@ -174,8 +174,8 @@
     def _describe(self, target: RolloutTarget) -> pb.RolloutReply:
         replicas = self._replicas(target)
         loading = {replica_id for replica_id, future in self._loading.items() if not future.done()}
-        done = [replica.replica_id for replica in replicas if _has(replica, target)]
-        rest = [replica.replica_id for replica in replicas if not _has(replica, target)]
+        done = [replica.replica_id for replica in replicas if _has_target_version(replica, target)]
+        rest = [replica.replica_id for replica in replicas if not _has_target_version(replica, target)]
         return pb.RolloutReply(
             pool=target.pool,
             weights_version=target.weights_version,
@@ -187,6 +187,6 @@
         )
 
 
-def _has(replica: Replica, target: RolloutTarget) -> bool:
+def _has_target_version(replica: Replica, target: RolloutTarget) -> bool:
     identity = replica.identity
     return identity is not None and identity.weights_version >= target.weights_version
--- a/winchfork/control/rpc_server.py
+++ b/winchfork/control/rpc_server.py
@@ -17,7 +17,7 @@
 from winchfork.control import winchfork_pb2_grpc
 from winchfork.control.configuration_writer import ConfigurationWriter
 from winchfork.control.convert import configuration_from_message, configuration_to_message
-from winchfork.control.rollout import RolloutDesk
+from winchfork.control.rollout import RolloutManager
 from winchfork.core.configuration import hash_api_key
 from winchfork.core.documents import DocumentName
 from winchfork.errors import Failure, FailureKind
@@ -69,7 +69,7 @@
 class OperatorService(winchfork_pb2_grpc.OperatorServicer):
     """Implements proto/winchfork.proto."""
 
-    def __init__(self, node: PeerNode, writer: ConfigurationWriter, rollouts: RolloutDesk) -> None:
+    def __init__(self, node: PeerNode, writer: ConfigurationWriter, rollouts: RolloutManager) -> None:
         self._node = node
         self._state = node.state
         self._writer = writer
@@ -122,7 +122,7 @@
                     remedy="winchfork status lists them",
                 ),
             )
-        result = self._writer.change_draining(request.replica_id, request.draining)
+        result = self._writer.set_draining(request.replica_id, request.draining)
         if isinstance(result, Failure):
             _abort(context, result)
         return self._configuration()
--- a/winchfork/daemon.py
+++ b/winchfork/daemon.py
@@ -23,7 +23,7 @@
 from winchfork.cluster.waiting_work import WaitingWork
 from winchfork.cluster.wire import PeerCodec
 from winchfork.control.configuration_writer import ConfigurationWriter
-from winchfork.control.rollout import RolloutDesk
+from winchfork.control.rollout import RolloutManager
 from winchfork.control.rpc_server import OperatorService, RpcServer
 from winchfork.core.member import Member
 from winchfork.errors import Failure, FailureKind
@@ -38,7 +38,7 @@
 from winchfork.stores.etcd_json import EtcdJsonStore
 from winchfork.stores.machine_list import HttpMachineSource
 
-_DUTY_THREADS = 6
+_BACKGROUND_THREADS = 6
 
 
 class Daemon:
@@ -69,7 +69,7 @@
         self._sync = PlatformSync(self.node, store, machines)
         self._reader = EventReader(self.node, engine)
         self._panels = PanelManager(self.node, store)
-        self._rollouts = RolloutDesk(self.node, store, engine)
+        self._rollouts = RolloutManager(self.node, store, engine)
         self.metrics = GatewayMetrics()
         generations = GenerationRouter(self.state, PlacementLookup(self.node), engine, self.metrics)
         relay = Relay(self.state, self._client, ClaimClient(self.node), self.metrics)
@@ -83,7 +83,7 @@
         )
         service = OperatorService(self.node, ConfigurationWriter(self.node, store), self._rollouts)
         self._rpc = RpcServer(settings, service)
-        self._duties = ThreadPoolExecutor(_DUTY_THREADS, thread_name_prefix="duty")
+        self._background_tasks = ThreadPoolExecutor(_BACKGROUND_THREADS, thread_name_prefix="duty")
 
     @property
     def http_address(self) -> str:
@@ -105,7 +105,7 @@
             self._rollouts.run,
             self._waiting.run,
         ):
-            self._duties.submit(duty)
+            self._background_tasks.submit(duty)
         self._sync.start()
         self._rpc.start()
         self._http.start()
@@ -130,7 +130,7 @@
         self._sync.stop()
         self._rpc.stop()
         self.node.stop()
-        self._duties.shutdown(wait=False, cancel_futures=True)
+        self._background_tasks.shutdown(wait=False, cancel_futures=True)
         self._client.close()
         self._platform_client.close()
         log_event("daemon_stopped", id=self.settings.daemon.id)
@@ -145,7 +145,7 @@
         self._sync.stop()
         self._rpc.stop()
         self.node.stop_at_once()
-        self._duties.shutdown(wait=False, cancel_futures=True)
+        self._background_tasks.shutdown(wait=False, cancel_futures=True)
         self._http.stop(wait=False)
         self._client.close()
         self._platform_client.close()
--- a/winchfork/early_stop.py
+++ b/winchfork/early_stop.py
@@ -13,7 +13,7 @@
 from winchfork.boot_clock import boot_seconds
 
 #: When this process began, by its router's clock.
-STARTED_S = boot_seconds()
+STARTED_AT_S = boot_seconds()
 
 
 def _end(number: int, frame: FrameType | None) -> None:
--- a/winchfork/gateway/generation.py
+++ b/winchfork/gateway/generation.py
@@ -252,7 +252,7 @@
 def _is_resumable(result: StreamEnd | Failure) -> bool:
     return isinstance(result, Failure) and result.kind in (
         FailureKind.STREAM_BROKEN,
-        FailureKind.BACKEND_BROKE,
+        FailureKind.BACKEND_FAILED,
     )
 
 
--- a/winchfork/gateway/responses.py
+++ b/winchfork/gateway/responses.py
@@ -24,7 +24,7 @@
     FailureKind.DEADLINE_EXCEEDED: 504,
     FailureKind.OUTCOME_UNKNOWN: 502,
     FailureKind.INTERNAL: 500,
-    FailureKind.BACKEND_BROKE: 502,
+    FailureKind.BACKEND_FAILED: 502,
     FailureKind.STREAM_BROKEN: 502,
     FailureKind.BACKEND_REFUSED: 502,
 }
--- a/winchfork/platform/__main__.py
+++ b/winchfork/platform/__main__.py
@@ -4,9 +4,9 @@
 
 import sys
 
-from winchfork.early_stop import STARTED_S  # isort: skip - before the slow imports
+from winchfork.early_stop import STARTED_AT_S  # isort: skip - before the slow imports
 from winchfork.errors import Failure
-from winchfork.platform.parts import platform_parts
+from winchfork.platform.adapters import platform_adapters
 from winchfork.platform.settings import read_settings
 from winchfork.router.process import run_router
 
@@ -17,7 +17,7 @@
     if isinstance(settings, Failure):
         print(f"winchfork: {settings}", file=sys.stderr)
         return 2
-    return run_router(settings, platform_parts(), read_settings, STARTED_S)
+    return run_router(settings, platform_adapters(), read_settings, STARTED_AT_S)
 
 
 if __name__ == "__main__":
--- a/winchfork/platform/parts.py
+++ b/winchfork/platform/adapters.py
@@ -2,19 +2,19 @@
 
 from __future__ import annotations
 
-from winchfork.platform.documents import PlatformDocuments
-from winchfork.platform.headers import PlatformDialect
+from winchfork.platform.documents import PlatformDocumentCodec
+from winchfork.platform.headers import PlatformHeaderCodec
 from winchfork.platform.replicas import PlatformReplicaControl
 from winchfork.platform.store import PlatformStore
 from winchfork.router.process import RouterAdapters
 
 
-def platform_parts() -> RouterAdapters:
+def platform_adapters() -> RouterAdapters:
     """Return what a router needs to run on the platform."""
     return RouterAdapters(
-        header_codec=PlatformDialect(),
-        documents=PlatformDocuments(),
-        status=PlatformDocuments(),
+        header_codec=PlatformHeaderCodec(),
+        documents=PlatformDocumentCodec(),
+        status=PlatformDocumentCodec(),
         make_store=PlatformStore,
         make_control=PlatformReplicaControl,
     )
--- a/winchfork/platform/documents.py
+++ b/winchfork/platform/documents.py
@@ -31,7 +31,7 @@
 #: Whole numbers of entries: what a double holds exactly, and every peer's message.
 _Count = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 _Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
-_MOST_PORT = 65_535
+_MAX_PORT = 65_535
 
 
 class _ReplicaState(enum.Enum):
@@ -149,7 +149,7 @@
     target_version: str
 
 
-class PlatformDocuments:
+class PlatformDocumentCodec:
     """Implements :class:`winchfork.router.documents.DocumentReader` and its ``StatusWriter``."""
 
     def read(self, item: StoreItem) -> Document | Failure | None:
@@ -227,7 +227,7 @@
         ipaddress.IPv4Address(host)
     except ValueError:
         return False
-    return port.isascii() and port.isdigit() and 0 < int(port) <= _MOST_PORT
+    return port.isascii() and port.isdigit() and 0 < int(port) <= _MAX_PORT
 
 
 def _table(value: bytes) -> RoutingTable | Failure:
--- a/winchfork/platform/forwarded_headers.py
+++ b/winchfork/platform/forwarded_headers.py
@@ -16,34 +16,34 @@
 _LENGTH: Final = b"content-length"
 _EXTENSION_PREFIX: Final = b"x-"
 _OWNERS: Final = {name.lower(): owner for name, owner in names.HEADER_OWNERS.items()}
-_CALLERS: Final = frozenset(name for name, owner in _OWNERS.items() if owner is HeaderOwner.CALLER)
+_CALLER_HEADERS: Final = frozenset(name for name, owner in _OWNERS.items() if owner is HeaderOwner.CALLER)
 #: Headers of HTTP itself whose names begin like one of the wire's.
 _STANDARD: Final = frozenset({b"cache-control"})
 
 
 def _namespace(name: bytes) -> bytes:
     """Return the first word of a header's name, however it is spelled: ``kv`` of ``X_Kv-Fetch``."""
-    return _dashed(name).removeprefix(_EXTENSION_PREFIX).partition(b"-")[0]
+    return _normalize(name).removeprefix(_EXTENSION_PREFIX).partition(b"-")[0]
 
 
-def _dashed(name: bytes) -> bytes:
+def _normalize(name: bytes) -> bytes:
     """Return a name in the spelling of the table, in which some servers read underscores too."""
     return name.lower().replace(b"_", b"-")
 
 
-_RESERVED: Final = frozenset(
+_RESERVED_NAMESPACES: Final = frozenset(
     _namespace(name)
     for name, owner in _OWNERS.items()
     if name.startswith(_EXTENSION_PREFIX) and owner is not HeaderOwner.CALLER
 ) | {_namespace(names.KV_FROM)}
 
 
-def may_pass(name: bytes) -> bool:
+def is_forwardable(name: bytes) -> bool:
     """Whether a replica is given what a caller sent under this name."""
     lower = name.lower()
-    if lower in _CALLERS or lower in _STANDARD:
+    if lower in _CALLER_HEADERS or lower in _STANDARD:
         return True
-    return _dashed(name) not in _OWNERS and _namespace(name) not in _RESERVED
+    return _normalize(name) not in _OWNERS and _namespace(name) not in _RESERVED_NAMESPACES
 
 
 def forwarded_headers(headers: Headers) -> Headers:
@@ -53,6 +53,6 @@
     """
     return [
         (name, value)
-        for name, value in end_to_end(headers, keep=_CALLERS)
-        if name.lower() != _LENGTH and may_pass(name)
+        for name, value in end_to_end(headers, keep=_CALLER_HEADERS)
+        if name.lower() != _LENGTH and is_forwardable(name)
     ]
--- a/winchfork/platform/headers.py
+++ b/winchfork/platform/headers.py
@@ -11,7 +11,7 @@
 from winchfork.router.http_types import AnswerHead, Headers
 
 
-class PlatformDialect:
+class PlatformHeaderCodec:
     """The platform's header names; implements :class:`winchfork.router.header_codec.Dialect`."""
 
     def read_request(self, headers: Headers) -> RequestFields | Failure:
--- a/winchfork/platform/notices.py
+++ b/winchfork/platform/notices.py
@@ -25,7 +25,7 @@
 _STATUS_UNAVAILABLE = 503
 _STATUS_TOO_MANY = 429
 _NOTHING = AnswerNotice()
-_MOST_SHOWN = 40
+_MAX_SHOWN_CHARS = 40
 
 
 def read_notice(head: AnswerHead) -> AnswerNotice:
@@ -35,25 +35,25 @@
     not run; otherwise it is the application's word to the caller. On other answers that header
     means something else. Of several waits the longest counts, of several limits the least.
     """
-    found = [item for item in head.headers if _may_be_word(item[0].lower())]
+    found = [item for item in head.headers if _may_be_notice(item[0].lower())]
     if not found:
         return _NOTHING
-    words = _Words(_is_own_wait(head))
+    words = _NoticeHeaders(_is_replica_backoff(head))
     for name, value in found:
-        words.take(name, value)
-    return words.notice()
+        words.add(name, value)
+    return words.to_notice()
 
 
-def _may_be_word(name: bytes) -> bool:
+def _may_be_notice(name: bytes) -> bool:
     """Whether a header may be a word; nearly all answers hold none: 0.7 us each instead of 2.4."""
     return name.startswith(_OWN_PREFIX) or name == _RETRY_AFTER
 
 
-class _Words:
+class _NoticeHeaders:
     """The words of one answer, header by header."""
 
-    def __init__(self, waits: bool) -> None:
-        self._waits = waits
+    def __init__(self, reads_retry_after: bool) -> None:
+        self._reads_retry_after = reads_retry_after
         self._draining = False
         self._backoffs_s: list[float] = []
         self._limits_per_s: list[float] = []
@@ -61,22 +61,22 @@
         self._unreadable: list[str] = []
         self._unknown: list[str] = []
 
-    def take(self, name: bytes, value: bytes) -> None:
+    def add(self, name: bytes, value: bytes) -> None:
         """Take in one header."""
         lowered = name.lower()
         if lowered == _LEAVING:
             self._draining = self._draining or value.strip() == _IS_LEAVING
             self._check(name, value, value.strip() == _IS_LEAVING)
         elif lowered == _LIMIT:
-            self._take_limit(name, value)
-        elif self._waits and lowered == _RETRY_AFTER:
+            self._add_limit(name, value)
+        elif self._reads_retry_after and lowered == _RETRY_AFTER:
             seconds = _seconds(value)
             self._backoffs_s += [] if seconds is None else [seconds]
             self._check(name, value, seconds is not None)
         elif lowered.startswith(_OWN_PREFIX) and lowered != _TIMING:
-            self._unknown.append(lowered[:_MOST_SHOWN].decode("latin-1"))
+            self._unknown.append(lowered[:_MAX_SHOWN_CHARS].decode("latin-1"))
 
-    def notice(self) -> AnswerNotice:
+    def to_notice(self) -> AnswerNotice:
         """Return what they come to."""
         return AnswerNotice(
             self._draining,
@@ -87,7 +87,7 @@
             tuple(self._unknown),
         )
 
-    def _take_limit(self, name: bytes, value: bytes) -> None:
+    def _add_limit(self, name: bytes, value: bytes) -> None:
         """Read a limit; proxies join the values of several headers by commas."""
         self._names_limit = True
         texts = [text.strip() for text in value.split(b",")]
@@ -97,11 +97,11 @@
 
     def _check(self, name: bytes, value: bytes, is_readable: bool) -> None:
         if not is_readable:
-            shown = f"{name.decode('latin-1')} holds {value[:_MOST_SHOWN]!r}"
+            shown = f"{name.decode('latin-1')} holds {value[:_MAX_SHOWN_CHARS]!r}"
             self._unreadable.append(shown)
 
 
-def _is_own_wait(head: AnswerHead) -> bool:
+def _is_replica_backoff(head: AnswerHead) -> bool:
     """Whether a wait in this answer is the replica's word on itself."""
     if head.status == _STATUS_TOO_MANY:
         return find_header(head.headers, _NOT_EXECUTED) is not None
--- a/winchfork/platform/replicas.py
+++ b/winchfork/platform/replicas.py
@@ -22,8 +22,8 @@
 REPORT_TIMEOUT_S = 0.6
 ORDER_TIMEOUT_S = 1.0
 _OUTCOMES = {
-    200: OrderOutcome.ALREADY_SO,
-    202: OrderOutcome.TAKEN,
+    200: OrderOutcome.ALREADY_LOADED,
+    202: OrderOutcome.ACCEPTED,
     409: OrderOutcome.CONFLICT,
     412: OrderOutcome.FENCED,
     names.STATUS_MISDIRECTED: OrderOutcome.OTHER_REPLICA,
@@ -47,14 +47,14 @@
 class PlatformReplicaControl:
     """Implements :class:`winchfork.backends.replica_control.ReplicaControl`."""
 
-    def __init__(self, caller: PooledHttpClient) -> None:
-        self._caller = caller
+    def __init__(self, client: PooledHttpClient) -> None:
+        self._client = client
 
     async def report(
         self, address: str, on_notice: OnNotice = ignore_notice
     ) -> ReplicaReport | Failure:
         """Ask for the report."""
-        reply = await self._caller.call(
+        reply = await self._client.call(
             address,
             b"GET",
             b"/report",
@@ -70,7 +70,7 @@
         try:
             report = msgspec.json.decode(reply.body, type=_Report)
         except msgspec.DecodeError as error:
-            return FailureKind.BACKEND_BROKE.because(f"unreadable report: {error}")
+            return FailureKind.BACKEND_FAILED.because(f"unreadable report: {error}")
         versions = {model.name: model.version for model in report.models}
         return ReplicaReport(
             report.sequence, report.busy, report.running, report.waiting, versions, report.born
@@ -93,7 +93,7 @@
             "FencingToken": order.fence,
             "Expected": order.expected_sequence,
         }
-        reply = await self._caller.call(
+        reply = await self._client.call(
             address,
             b"POST",
             b"/order",
--- a/winchfork/platform/settings.py
+++ b/winchfork/platform/settings.py
@@ -31,7 +31,7 @@
 
 def parse_settings(text: str) -> RouterSettings | Failure:
     """Read settings; keys that are not known are skipped."""
-    fields = _Fields(text)
+    fields = _SettingsReader(text)
     bounds = RouterBounds(
         contact_s=fields.seconds("Bounds.ContactMs", 3_000),
         drain_s=fields.seconds("Bounds.DrainMs", 2_000),
@@ -78,7 +78,7 @@
     return fields.problem or settings
 
 
-class _Fields:
+class _SettingsReader:
     """Typed look-ups in the file; the first problem is kept."""
 
     def __init__(self, text: str) -> None:
@@ -93,7 +93,7 @@
         """Return a text; a missing one without a default is a problem."""
         value = self._values.get(key, default)
         if value is None:
-            self._note(key, "is missing", "the platform writes it at each start")
+            self._record_problem(key, "is missing", "the platform writes it at each start")
             return ""
         return value
 
@@ -105,7 +105,7 @@
         try:
             return float(value)
         except ValueError:
-            self._note(key, f"is {value!r}", "write a number")
+            self._record_problem(key, f"is {value!r}", "write a number")
             return float(default)
 
     def seconds(self, key: str, default_ms: float) -> float:
@@ -117,7 +117,7 @@
         value = self.text(key)
         host, _, port = value.rpartition(":")
         if value and not (host and port.isdigit()):
-            self._note(key, f"is {value!r}", "write an IP number and a port")
+            self._record_problem(key, f"is {value!r}", "write an IP number and a port")
         return value
 
     def ports(self, key: str) -> tuple[int, int]:
@@ -126,7 +126,7 @@
         if not first:
             return (0, 0)
         if not (first.isdigit() and last.isdigit()):
-            self._note(key, "is no range", "write FIRST,LAST")
+            self._record_problem(key, "is no range", "write FIRST,LAST")
             return (0, 0)
         return int(first), int(last)
 
@@ -142,6 +142,6 @@
             if key.startswith(prefix)
         }
 
-    def _note(self, key: str, problem: str, remedy: str) -> None:
+    def _record_problem(self, key: str, problem: str, remedy: str) -> None:
         if self.problem is None:
             self.problem = FailureKind.INVALID_SETTINGS.because(f"{key} {problem}", remedy=remedy)
--- a/winchfork/platform/store.py
+++ b/winchfork/platform/store.py
@@ -30,7 +30,7 @@
 #: Time limit of a call, and what a watch may take beyond its wait.
 CALL_TIMEOUT_S = 1.2
 WATCH_SLACK_S = 0.9
-_MOST_PAGES = 200
+_MAX_PAGES = 200
 
 
 class _Item(msgspec.Struct):
@@ -60,7 +60,7 @@
     ttl_ms: float = 0.0
 
 
-class _Answered(msgspec.Struct, Generic[_Shape]):
+class _AnswerWithEra(msgspec.Struct, Generic[_Shape]):
     """A successful answer's body and the era that the answer names."""
 
     body: _Shape
@@ -71,9 +71,9 @@
     """Implements :class:`winchfork.stores.async_key_value.AsyncKeyValueStore`."""
 
     def __init__(
-        self, caller: PooledHttpClient, address: str, on_answer: OnStoreAnswer = ignore_answer
+        self, client: PooledHttpClient, address: str, on_answer: OnStoreAnswer = ignore_answer
     ) -> None:
-        self._caller = caller
+        self._client = client
         self._address = address
         self._on_answer = on_answer
 
@@ -82,7 +82,7 @@
         items: list[StoreItem] = []
         at: StorePosition | None = None
         after = ""
-        for _ in range(_MOST_PAGES):
+        for _ in range(_MAX_PAGES):
             query = {"PathPrefix": prefix} | ({"after": after} if after else {})
             answer = await self._read(f"/kv-range?{urlencode(query)}", _Page, CALL_TIMEOUT_S)
             if isinstance(answer, Failure):
@@ -153,21 +153,21 @@
 
     async def _read(
         self, target: str, shape: type[_Shape], timeout_s: float
-    ) -> _Answered[_Shape] | Failure:
+    ) -> _AnswerWithEra[_Shape] | Failure:
         return _decode(await self._call(b"GET", target, None, timeout_s), shape)
 
     async def _write(
         self, target: str, body: object, shape: type[_Shape]
-    ) -> _Answered[_Shape] | Failure:
+    ) -> _AnswerWithEra[_Shape] | Failure:
         encoded = msgspec.json.encode(body)
         return _decode(await self._call(b"POST", target, encoded, CALL_TIMEOUT_S), shape)
 
     async def _call(
         self, method: bytes, target: str, body: bytes | None, timeout_s: float
-    ) -> _Answered[bytes] | Failure:
+    ) -> _AnswerWithEra[bytes] | Failure:
         label = target[1:].partition("?")[0].partition("/")[0]
         heads: list[AnswerHead] = []
-        reply = await self._caller.call(
+        reply = await self._client.call(
             self._address,
             method,
             target.encode(),
@@ -180,7 +180,7 @@
             return FailureKind.STORE_UNAVAILABLE.because(reply.reason, ran=reply.ran)
         answer = read_store_answer(heads[-1])
         self._on_answer(answer)
-        return _Answered(reply.body, answer.era) if reply.status == 200 else _refused(reply)
+        return _AnswerWithEra(reply.body, answer.era) if reply.status == 200 else _refused(reply)
 
 
 def _refused(reply: CallReply) -> Failure:
@@ -197,21 +197,21 @@
     return FailureKind.STORE_UNAVAILABLE.because(f"the store answered {reply.status}")
 
 
-def _decode(answer: _Answered[bytes] | Failure, shape: type[_Shape]) -> _Answered[_Shape] | Failure:
+def _decode(answer: _AnswerWithEra[bytes] | Failure, shape: type[_Shape]) -> _AnswerWithEra[_Shape] | Failure:
     if isinstance(answer, Failure):
         return answer
     try:
-        return _Answered(msgspec.json.decode(answer.body, type=shape), answer.era)
+        return _AnswerWithEra(msgspec.json.decode(answer.body, type=shape), answer.era)
     except msgspec.DecodeError as error:
         return FailureKind.STORE_UNAVAILABLE.because(f"unreadable answer: {error}")
 
 
 def _item(entry: _Item) -> StoreItem:
-    value = None if entry.gone or entry.value is None else _bytes_of(entry.value)
+    value = None if entry.gone or entry.value is None else _decode_value(entry.value)
     return StoreItem(entry.key, value, entry.revision)
 
 
-def _bytes_of(text: str) -> bytes:
+def _decode_value(text: str) -> bytes:
     """Return an entry's bytes; what is no base64 is nobody's document, and not the call's end."""
     try:
         return base64.b64decode(text)
--- a/winchfork/platform/store_headers.py
+++ b/winchfork/platform/store_headers.py
@@ -8,9 +8,9 @@
 _ERA = b"store-era"
 _OWN_PREFIX = b"store-"
 #: The wire's numbers fit into 53 bits; longer texts are no eras.
-_MOST_DIGITS = 15
+_MAX_DIGITS = 15
 #: Length up to which an unknown name is shown.
-_MOST_SHOWN = 40
+_MAX_SHOWN_CHARS = 40
 
 
 def read_store_answer(head: AnswerHead) -> StoreAnswer:
@@ -22,10 +22,10 @@
         if lowered == _ERA:
             eras.update(text.strip() for text in value.split(b","))
         elif lowered.startswith(_OWN_PREFIX):
-            unknown.append(lowered[:_MOST_SHOWN].decode("latin-1"))
+            unknown.append(lowered[:_MAX_SHOWN_CHARS].decode("latin-1"))
     era = _number(eras.pop()) if len(eras) == 1 else 0
     return StoreAnswer(head.status, era, tuple(unknown))
 
 
 def _number(text: bytes) -> int:
-    return int(text) if text.isdigit() and len(text) <= _MOST_DIGITS else 0
+    return int(text) if text.isdigit() and len(text) <= _MAX_DIGITS else 0
--- a/winchfork/router/crash_tracker.py
+++ b/winchfork/router/crash_tracker.py
@@ -66,7 +66,7 @@
         """Return why a request is not sent to any replica; None if it may be."""
         if not self.ledger.is_refused(digest, self._clock()):
             return None
-        return FailureKind.ENDS_REPLICAS.because(
+        return FailureKind.CRASHES_REPLICAS.because(
             f"{CRASHES_TO_REFUSE} replicas ended while they ran this request ({digest.hex()})",
             remedy="do not send it again; change it, or ask the operators to release it",
             ran=ran,
--- a/winchfork/router/leader_entry.py
+++ b/winchfork/router/leader_entry.py
@@ -71,6 +71,6 @@
         entries = [item for item in snapshot.items if item.key == LEADER_KEY]
         if not entries:
             return 0
-        position = StorePosition(snapshot.at.era, entries[0].revision)
+        position = StorePosition(snapshot.position.era, entries[0].revision)
         is_own = entries[0].value == self._own_value
         return position.revision if is_own or self.fences.is_restored(position) else None
--- a/winchfork/router/pooled_http_client.py
+++ b/winchfork/router/pooled_http_client.py
@@ -85,7 +85,7 @@
             connection.abandon()
             # Connections fall silent together: the next call had better open one.
             self._pool.close_idle(address)
-            return FailureKind.BACKEND_BROKE.because(f"no answer within {timeout_s:.2f} s")
+            return FailureKind.BACKEND_FAILED.because(f"no answer within {timeout_s:.2f} s")
         except asyncio.CancelledError:
             connection.abandon()
             raise
@@ -122,5 +122,5 @@
         elif isinstance(item, AnswerEnd):
             return CallReply(self._status, b"".join(self._pieces))
         elif isinstance(item, AnswerTruncated):
-            return FailureKind.BACKEND_BROKE.because(f"connection {item.reason}")
+            return FailureKind.BACKEND_FAILED.because(f"connection {item.reason}")
         return None
--- a/winchfork/router/refusals.py
+++ b/winchfork/router/refusals.py
@@ -19,7 +19,7 @@
     FailureKind.QUOTA_EXCEEDED: 429,
     FailureKind.HEADER_TOO_LARGE: 431,
     # Final, and no promise: an earlier try has run, and this one is not to be sent again.
-    FailureKind.ENDS_REPLICAS: 500,
+    FailureKind.CRASHES_REPLICAS: 500,
 }
 #: Wait told to a refused caller where nothing is known of when it will be served.
 DEFAULT_RETRY_AFTER_S = 0.25
--- a/winchfork/router/replica_search.py
+++ b/winchfork/router/replica_search.py
@@ -15,7 +15,7 @@
 from winchfork.core.permit_queue import (
     PermitOpening,
     PermitTicket,
-    max_wait_s,
+    max_permit_wait_s,
     permit_in_s,
 )
 from winchfork.core.placement_request import RelayDecision
--- a/winchfork/router/store_sync.py
+++ b/winchfork/router/store_sync.py
@@ -125,13 +125,13 @@
         snapshot = await self._store.list(_ALL_KEYS)
         if isinstance(snapshot, Failure):
             return snapshot
-        if snapshot.at.era < self._state.eras.newest:
-            return self._drop_answer(snapshot.at, "era_over")
+        if snapshot.position.era < self._state.eras.newest:
+            return self._drop_answer(snapshot.position, "era_over")
         after_outage = self._lost_since_s is not None
         self._mark_store_regained(asked_s)
         self._entry_date = self._date_entries(in_time=False)
         items = tuple(TableItem(item.key, item.revision, item.value) for item in snapshot.items)
-        self._install_complete(items, snapshot.at, after_outage)
+        self._install_complete(items, snapshot.position, after_outage)
         self._record_proof(asked_s)
         return None
 
@@ -164,17 +164,17 @@
         batch = await self._store.watch(_ALL_KEYS, base.revision, wait_s)
         if isinstance(batch, Failure):
             return batch
-        if batch.at.era != base.era or base.era != self._state.store_position.era:
-            return self._drop_answer(batch.at, "other_era")
+        if batch.position.era != base.era or base.era != self._state.store_position.era:
+            return self._drop_answer(batch.position, "other_era")
         answered_s = self._state.clock()
         in_time = answered_s - asked_s <= wait_s + LATE_ANSWER_S
         self._entry_date = self._date_entries(in_time=in_time and self._lost_since_s is None)
         self._mark_store_regained(asked_s)
         items = tuple(TableItem(item.key, item.revision, item.value) for item in batch.items)
-        self._install_newer(items, batch.at.era)
-        self._advance_position(batch.at)
+        self._install_newer(items, batch.position.era)
+        self._advance_position(batch.position)
         if self._relay is not None:
-            self._relay.broadcast(TableUpdate(base, batch.at, False, False, items))
+            self._relay.broadcast(TableUpdate(base, batch.position, False, False, items))
         waited = in_time and not batch.items and answered_s - asked_s >= wait_s
         self._record_proof(asked_s + wait_s if waited else asked_s)
         return None
--- a/winchfork/router/weights_rollout.py
+++ b/winchfork/router/weights_rollout.py
@@ -231,7 +231,7 @@
             self._leadership.record_refused_fence(order.fence)
         if isinstance(outcome, Failure):
             return outcome.ran is not RunState.NOT_RUN and await self._was_accepted(replica, report)
-        return outcome in (OrderOutcome.TAKEN, OrderOutcome.ALREADY_SO)
+        return outcome in (OrderOutcome.ACCEPTED, OrderOutcome.ALREADY_LOADED)
 
     async def _report(self, replica: RelayReplica) -> ReplicaReport | Failure:
         on_notice = functools.partial(self._state.notices.record, replica)
--- a/winchfork/stores/async_key_value.py
+++ b/winchfork/stores/async_key_value.py
@@ -29,14 +29,14 @@
     """Entries under a prefix, of one era; changes after ``at`` are still to be watched."""
 
     items: tuple[StoreItem, ...]
-    at: StorePosition
+    position: StorePosition
 
 
 class WatchBatch(msgspec.Struct, frozen=True):
     """Changes in order, of one era; the next watch goes on after ``at``."""
 
     items: tuple[StoreItem, ...]
-    at: StorePosition
+    position: StorePosition
 
 
 class ExpectedRevision(msgspec.Struct, frozen=True):
--- a/winchfork/stores/key_value.py
+++ b/winchfork/stores/key_value.py
@@ -66,13 +66,13 @@
         ...
 
 
-def swap_until_known(
+def compare_and_swap_until_resolved(
     store: KeyValueStore,
     key: str,
     value: bytes,
     expected_revision: int,
-    is_ours: Callable[[bytes], bool],
-    keep_trying: Callable[[], bool],
+    is_own_write: Callable[[bytes], bool],
+    should_retry: Callable[[], bool],
 ) -> int | Failure:
     """Compare-and-swap whose lost answers are resolved by reading back.
 
@@ -86,8 +86,8 @@
         if result.kind is FailureKind.INVALID_REQUEST:
             return result
         entry = store.get(key)
-        if isinstance(entry, Entry) and is_ours(entry.value):
+        if isinstance(entry, Entry) and is_own_write(entry.value):
             return entry.revision
         settled = not isinstance(entry, Failure) and result.kind is FailureKind.REVISION_CONFLICT
-        if settled or not keep_trying():
+        if settled or not should_retry():
             return result
