--- a/tests/fuzz_machines.py
+++ b/tests/fuzz_machines.py
@@ -51,7 +51,7 @@
         self.key = key
         self.stamp_s = stamp_s
         self.executions = 0
-        self.listening_to: _Attempt | None = None
+        self.awaited_attempt: _Attempt | None = None
         self.told_not_run = False
         self.answers: list[bytes] = []
 
@@ -134,7 +134,7 @@
                 return
             COUNTS["caller retry"] += 1
             self._begin(command, daemon, first_send=False)
-        attempt = command.listening_to
+        attempt = command.awaited_attempt
         assert attempt is not None
         self.deliver_all()
         if not attempt.crashed and attempt.claim.dispatch():
@@ -145,7 +145,7 @@
         claim = Claim(self.voters[daemon].panel, command.key, command.stamp_s, name)
         attempt = _Attempt(command, daemon, claim, first_send)
         self.attempts[name] = attempt
-        command.listening_to = attempt
+        command.awaited_attempt = attempt
         for voter in claim.voters:
             self._send(daemon, voter, claim.request)
 
@@ -164,20 +164,20 @@
         elif choice == "dispatch" and claim.dispatch():
             attempt.in_flight = True
         elif choice == "abandon" and claim.abandon():
-            self._tell(attempt, None, RunState.NOT_RUN)
+            self._answer_caller(attempt, None, RunState.NOT_RUN)
             self._record(attempt, b"refused")
         elif choice == "give_up" and claim.phase is ClaimPhase.GATHERING:
             if claim.recorded_outcome is not None:
-                self._tell(attempt, claim.recorded_outcome, None)
+                self._answer_caller(attempt, claim.recorded_outcome, None)
             failure, release = claim.give_up(first_send=attempt.first_send)
             for voter in claim.voters:
                 self._send(attempt.daemon, voter, release)
             if claim.recorded_outcome is None:
-                self._tell(attempt, None, failure.ran)
+                self._answer_caller(attempt, None, failure.ran)
 
-    def _tell(self, attempt: _Attempt, outcome: bytes | None, ran: RunState | None) -> None:
+    def _answer_caller(self, attempt: _Attempt, outcome: bytes | None, ran: RunState | None) -> None:
         command = attempt.command
-        if command.listening_to is not attempt:
+        if command.awaited_attempt is not attempt:
             return
         if outcome == b"refused" or ran is RunState.NOT_RUN:
             command.told_not_run = True
@@ -208,7 +208,7 @@
             COUNTS["answer lost"] += 1
             return
         outcome = f"ran {attempt.command.key}".encode()
-        self._tell(attempt, outcome, None)
+        self._answer_caller(attempt, outcome, None)
         self._record(attempt, outcome)
 
     # --- network, clocks, restarts ---
@@ -498,7 +498,7 @@
         if offset != before:
             COUNTS["piece out of place"] += 1
         text = "".join(self.tokens[offset : offset + count])
-        result = self.progress.take(StreamPiece(offset, count, text))
+        result = self.progress.forward(StreamPiece(offset, count, text))
         gap_or_overlap = offset != before and offset + count > before
         assert (result is not None) == gap_or_overlap
 
@@ -507,7 +507,7 @@
         COUNTS["step"] += 1
         offset = self.progress.tokens
         if offset < 40:
-            self.progress.take(StreamPiece(offset, 1, self.tokens[offset]))
+            self.progress.forward(StreamPiece(offset, 1, self.tokens[offset]))
 
     @invariant()
     def text_is_whole_and_in_order(self) -> None:
--- a/tests/loopback_case.py
+++ b/tests/loopback_case.py
@@ -11,7 +11,7 @@
 from standins.replica_server import ReplicaServer
 from tests.relay_support import ReceivedAnswer, read_answer
 
-PATIENCE_S = 25.0
+MAX_WAIT_S = 25.0
 SEED = 21
 FAMILIES = 23
 STREAMS_PER_S = 25
@@ -34,7 +34,7 @@
         self.deployment = LoopbackDeployment(self.routers)
         await self.deployment.start()
         self.addAsyncCleanup(self.deployment.stop)
-        await asyncio.wait_for(self.deployment.wait_until_ready(), PATIENCE_S)
+        await asyncio.wait_for(self.deployment.wait_until_ready(), MAX_WAIT_S)
         self.deployment.allow_repeats()
         self.random = random.Random(SEED)
         self.senders: dict[str, Sender] = {}
@@ -48,7 +48,7 @@
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(stream_request(number, self.random.randrange(FAMILIES)))
         try:
-            answer = await asyncio.wait_for(read_answer(reader), PATIENCE_S)
+            answer = await asyncio.wait_for(read_answer(reader), MAX_WAIT_S)
         finally:
             writer.close()
         self.statuses.append(answer.status)
@@ -62,7 +62,7 @@
             await asyncio.sleep(1.0 / STREAMS_PER_S)
         await asyncio.gather(*asked)
 
-    def by_work(self) -> list[ReplicaServer]:
+    def models_by_requests(self) -> list[ReplicaServer]:
         """Return the model replicas, the one that got most requests first."""
         models = self.deployment.models
         return sorted(models, key=lambda model: len(model.notices.arrivals), reverse=True)
--- a/tests/run.py
+++ b/tests/run.py
@@ -72,7 +72,7 @@
     return SuiteResult(result.testsRun, tuple(bad), len(result.skipped), text)
 
 
-def run_apart(module: str) -> SuiteResult:
+def run_captured(module: str) -> SuiteResult:
     """Run one module in this process and keep what is printed."""
     return run_modules([module], io.StringIO())
 
@@ -83,7 +83,7 @@
     others = [name for name in modules if name not in COMPUTING_MODULES]
     context = multiprocessing.get_context("spawn")
     with concurrent.futures.ProcessPoolExecutor(COMPUTING_PROCESSES, context) as pool:
-        apart = [pool.submit(run_apart, name) for name in COMPUTING_MODULES]
+        apart = [pool.submit(run_captured, name) for name in COMPUTING_MODULES]
         here = run_modules(others)
         return [here, *(future.result() for future in apart)]
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -13,13 +13,13 @@
 from winchfork.errors import Failure
 
 #: Longest wait for a condition; a bound against hanging, not an asserted time.
-PATIENCE_S = 30.0
+MAX_WAIT_S = 30.0
 _POLL_S = 0.02
 
 
 def wait_for(condition: Callable[[], bool], what: str) -> None:
     """Return once the condition holds; fail loudly if it never does."""
-    deadline_s = time.monotonic() + PATIENCE_S
+    deadline_s = time.monotonic() + MAX_WAIT_S
     while not condition():
         if time.monotonic() > deadline_s:
             raise AssertionError(f"never happened: {what}")
--- a/tests/test_gateway_suspension.py
+++ b/tests/test_gateway_suspension.py
@@ -14,7 +14,7 @@
 
 from winchfork.boot_clock import boot_seconds
 from winchfork.control.leader import Leadership
-from winchfork.gateway.caller import Caller, StoredWaiter
+from winchfork.gateway.caller import Caller, StoredRequestWaiter
 from winchfork.stores.key_value import KeyValueStore
 
 _SLEEPS_S = (1.0, 5.0, 30.0)
@@ -50,5 +50,5 @@
         deadline_at_s = boot_seconds() + 3.0
         for slept_s in _SLEEPS_S:
             with asleep(slept_s):
-                for waiter in (Caller(connection, deadline_at_s), StoredWaiter(deadline_at_s)):
+                for waiter in (Caller(connection, deadline_at_s), StoredRequestWaiter(deadline_at_s)):
                     self.assertEqual(waiter.check() is None, slept_s == 1.0, slept_s)
--- a/tests/test_late_word.py
+++ b/tests/test_late_word.py
@@ -9,7 +9,7 @@
 
 from tests.relay_support import RelayUnderTest
 from tests.test_weights_bounds import MODEL, FollowingFleet
-from tests.virtual_loop import run_virtually, stand_still
+from tests.virtual_loop import run_virtually, stall_loop
 from winchfork.core.document_table import TableItem, TableUpdate
 from winchfork.core.store_position import StorePosition
 from winchfork.router.peer_messages import VersionAgeEntry, VersionAges
@@ -36,7 +36,7 @@
         relay = RelayUnderTest()
         state = relay.state
         state.stall_detector.tick(state.clock())
-        stand_still(2.7)
+        stall_loop(2.7)
         if ticked:
             state.stall_detector.tick(state.clock())
         news = WeightsExchange(state, cast(PeerMessenger, None))
--- a/tests/test_limits_whole.py
+++ b/tests/test_limits_whole.py
@@ -22,7 +22,7 @@
     async def _name(self, replicas: int, per_s: float) -> None:
         """Let the busiest replicas name a limit, and send for long enough to judge."""
         await self.send_for(1.0)
-        struck = self.by_work()[:replicas]
+        struck = self.models_by_requests()[:replicas]
         for replica in struck:
             replica.notices.name_limit(per_s)
         await self.send_for(CONTACT_S + WINDOW_S + 1.0)
--- a/tests/test_notices_whole.py
+++ b/tests/test_notices_whole.py
@@ -19,7 +19,7 @@
 
     async def test_a_replica_that_leaves_by_its_answers_alone_is_left_alone(self) -> None:
         await self.send_for(1.0)
-        leaving = self.by_work()[0]
+        leaving = self.models_by_requests()[0]
         leaving.notices.leaving = True
         await self.send_for(LEAVING_BOUND_S + 3.0)
         self.assertGreater(len(leaving.notices.left), 0)
@@ -27,7 +27,7 @@
 
     async def test_replicas_that_rest_are_left_alone_for_so_long(self) -> None:
         await self.send_for(1.0)
-        resting = self.by_work()[0]
+        resting = self.models_by_requests()[0]
         for proves_not_run in (True, False):
             resting.notices.rest_s = REST_S
             resting.notices.proves_not_run = proves_not_run
--- a/tests/test_store_copies_whole.py
+++ b/tests/test_store_copies_whole.py
@@ -45,7 +45,7 @@
     ) -> None:
         await self._lose()
         deployment = self.deployment
-        leaving = self.by_work()[0]
+        leaving = self.models_by_requests()[0]
         deployment.add_key(NEW_KEY)
         leaving.announce("draining")
         deployment.name_weights(2)
--- a/tests/test_store_sync.py
+++ b/tests/test_store_sync.py
@@ -10,7 +10,7 @@
 
 from tests.memory_store import MemoryStore
 from tests.test_platform_documents import CONFIGURATION, REPLICA
-from tests.virtual_loop import run_virtually, stand_still
+from tests.virtual_loop import run_virtually, stall_loop
 from winchfork.core.document_table import TableItem, TableUpdate
 from winchfork.core.replica_notice import AnswerNotice
 from winchfork.core.store_position import StorePosition
@@ -129,7 +129,7 @@
 
         async def scenario(followed: Followed) -> None:
             await asyncio.sleep(5.0)
-            stand_still(4.0)
+            stall_loop(4.0)
             self.assertFalse(followed.state.api_keys_fresh)
             await asyncio.sleep(0.5)
             self.assertTrue(followed.state.api_keys_fresh)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -28,7 +28,7 @@
     signed,
     stream_head,
 )
-from tests.virtual_loop import VirtualLoop, run_virtually, stand_still
+from tests.virtual_loop import VirtualLoop, run_virtually, stall_loop
 from winchfork.core.relay_replica import ReplicaListing
 from winchfork.core.replica_notice import AnswerNotice
 from winchfork.core.routing import RouteKind
@@ -114,7 +114,7 @@
             daemon.follow()
             while not daemon.leadership.may_act():
                 await asyncio.sleep(0.05)
-            stand_still(seconds)
+            stall_loop(seconds)
             self.assertFalse(daemon.leadership.authorize_order())
             self.assertFalse(daemon.leadership.leads())
             daemon.kill(network)
@@ -127,11 +127,11 @@
             listing = ReplicaListing("i-1", "s", "127.0.0.1:1", "z1", 8, True)
             replica = relay.state.fleet.install(listing)
             relay.state.notices.record(replica, AnswerNotice(backoff_s=3.0))
-            stand_still(seconds)
+            stall_loop(seconds)
             woken_s = relay.state.clock()
             self.assertEqual(replica.notice.is_backing_off(woken_s), seconds < 3.0)
             relay.state.notices.record(replica, AnswerNotice(draining=True))
-            stand_still(seconds)
+            stall_loop(seconds)
             self.assertFalse(replica.accepting)
 
         asleep(scenario)
@@ -142,7 +142,7 @@
             relay.configure()
             relay.state.freshness = type(relay.state.freshness)()
             relay.state.freshness.prove(relay.state.clock())
-            stand_still(seconds)
+            stall_loop(seconds)
             request = IncomingRequest(
                 b"GET", b"/p/x", [(b"Host", b"a.example")], b"", False, True, relay.state.clock()
             )
@@ -164,7 +164,7 @@
             history.add(1, state.clock() - 100.0)
             history.add(2, state.clock())
             bound_s = state.settings.bounds.weights_s
-            stand_still(seconds)
+            stall_loop(seconds)
             over = state.replica_selector.weights_expire_at_s("m", 1) <= state.clock()
             self.assertEqual(over, seconds >= bound_s)
 
@@ -176,7 +176,7 @@
             quotas = relay.state.quotas
             limit = TenantLimit(10.0, 20.0, QuotaUnit.REQUESTS, 1.0)
             quotas.install({"school": limit}, relay.state.clock())
-            stand_still(seconds)
+            stall_loop(seconds)
             left = quotas.remaining(relay.state.clock())["school"]
             self.assertLessEqual(left, 20.0)
 
@@ -189,7 +189,7 @@
             crashes.handle_crash_report(1, [b"d"])
             until_s = relay.state.clock() + 4.0
             crashes.handle_suspect_run("n2", b"d", SuspectRun(7, until_s, is_exclusive=True))
-            stand_still(seconds)
+            stall_loop(seconds)
             self.assertEqual(crashes.may_run(b"d"), seconds >= 4.0)
 
         asleep(scenario)
@@ -199,7 +199,7 @@
             relay = RelayUnderTest()
             ledger = relay.state.crashes.ledger
             ledger.refuse(b"d", 1, relay.state.clock() + 4.0)
-            stand_still(seconds)
+            stall_loop(seconds)
             refused = relay.state.crashes.refusal(b"d") is not None
             self.assertEqual(refused, seconds < 4.0)
 
@@ -211,7 +211,7 @@
             watch = relay.state.stall_detector
             watch.tick(relay.state.clock())
             proven_s = relay.state.clock()
-            stand_still(seconds)
+            stall_loop(seconds)
             self.assertFalse(watch.ran_since(proven_s, relay.state.clock()))
 
         asleep(scenario)
@@ -221,7 +221,7 @@
             loop = asyncio.get_running_loop()
             self.assertIsInstance(loop, VirtualLoop)
             before_s = loop.time()
-            stand_still(seconds)
+            stall_loop(seconds)
             self.assertEqual(loop.time() - before_s, seconds)
 
         asleep(scenario)
--- a/tests/virtual_loop.py
+++ b/tests/virtual_loop.py
@@ -34,23 +34,23 @@
     def time(self) -> float:
         return self._jumping.now_s
 
-    def pass_time(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         self._jumping.now_s += seconds
 
 
-def stand_still(seconds: float) -> None:
+def stall_loop(seconds: float) -> None:
     """Let time pass in which nothing runs: every timer that ends meanwhile is late."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualLoop)
-    loop.pass_time(seconds)
+    loop.advance(seconds)
 
 
 #: Virtual seconds after which a scenario that waits for something has failed.
-PATIENCE_S = 300.0
+MAX_SCENARIO_S = 300.0
 
 
 async def _bounded(main: Coroutine[Any, Any, _Result]) -> _Result:
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(MAX_SCENARIO_S):
         return await main
 
 
--- a/winchfork/cluster/claim_client.py
+++ b/winchfork/cluster/claim_client.py
@@ -20,7 +20,7 @@
 from winchfork.errors import Failure, FailureKind, RunState
 
 #: Times an outcome or a release is sent; the voters take doubled ones.
-_NOTICE_REPEATS = 2
+_SENDS_PER_VOTER = 2
 
 
 @dataclasses.dataclass(frozen=True)
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class KeptOutcome:
+class RecordedOutcome:
     """The answer that an earlier attempt of the key received."""
 
     outcome: bytes
@@ -73,7 +73,7 @@
         self._node = node
         self._counter = itertools.count(1)
 
-    def obtain(self, request: ClaimRequest) -> WonClaim | KeptOutcome | Failure:
+    def obtain(self, request: ClaimRequest) -> WonClaim | RecordedOutcome | Failure:
         """Gather votes until won, answered from a kept outcome, or out of time."""
         state = self._node.state
         with state.lock:
@@ -96,30 +96,30 @@
                 claim.on_vote_reply(reply)
                 changed.notify_all()
 
-        self._node.listen_for_votes(attempt, hear)
+        self._node.add_vote_listener(attempt, hear)
         try:
             self._gather(claim, changed, request.timeout_s)
         finally:
-            self._node.stop_listening(attempt)
+            self._node.remove_vote_listener(attempt)
         with changed:
             if claim.phase is ClaimPhase.WON:
                 return WonClaim(self, claim)
             kept = claim.recorded_outcome
             failure = self._release(claim, request.first_send)
-        return KeptOutcome(kept) if kept is not None else failure
+        return RecordedOutcome(kept) if kept is not None else failure
 
     def record_outcome(self, claim: Claim, outcome: bytes) -> None:
         """Send the answer of a dispatched or abandoned attempt to the voters."""
         record = OutcomeRecord(
             claim.request.panel_id, claim.request.key, claim.request.attempt, outcome
         )
-        for _ in range(_NOTICE_REPEATS):
+        for _ in range(_SENDS_PER_VOTER):
             for voter in claim.voters:
                 self._node.send_to(voter, record)
 
     def _release(self, claim: Claim, first_send: bool) -> Failure:
         failure, release = claim.give_up(first_send=first_send)
-        for _ in range(_NOTICE_REPEATS):
+        for _ in range(_SENDS_PER_VOTER):
             for voter in claim.voters:
                 self._node.send_to(voter, release)
         return failure
--- a/winchfork/cluster/event_reader.py
+++ b/winchfork/cluster/event_reader.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from winchfork.backends.engine_port import EnginePort, EngineReport
-from winchfork.cluster.messages import BeliefNote, ReplicaNote
+from winchfork.cluster.messages import CacheUpdate, ReplicaUpdate
 from winchfork.cluster.node import PeerNode
 from winchfork.constants import EVENT_POLL_PERIOD_S
 from winchfork.core.cache_index import CacheEvent
@@ -27,7 +27,7 @@
 
 _WORKERS = 8
 #: Block keys in one belief message.
-NOTE_KEYS = 512
+MAX_KEYS_PER_UPDATE = 512
 
 
 class _StreamPosition:
@@ -49,7 +49,7 @@
         self._pool = ThreadPoolExecutor(_WORKERS, thread_name_prefix="events")
         self._positions: dict[str, _StreamPosition] = {}
         self._polls: dict[str, Future[None]] = {}
-        self._told: dict[str, ReplicaIdentity] = {}
+        self._sent_identities: dict[str, ReplicaIdentity] = {}
         self.events_read = 0
 
     def run(self) -> None:
@@ -81,7 +81,7 @@
                 own.append(replica)
             else:
                 self._positions.pop(replica.replica_id, None)
-                self._told.pop(replica.replica_id, None)
+                self._sent_identities.pop(replica.replica_id, None)
         return own
 
     def _poll(self, replica: Replica) -> None:
@@ -96,11 +96,11 @@
         measured_at_s = time.time()
         report = self._engine.report(replica.address, after)
         if isinstance(report, Failure):
-            self._note_unavailable(replica, measured_at_s)
+            self._mark_unavailable(replica, measured_at_s)
             return
-        self._note_report(replica, report, measured_at_s)
+        self._record_report(replica, report, measured_at_s)
         if not report.accepting:
-            self._note_unavailable(replica, measured_at_s)
+            self._mark_unavailable(replica, measured_at_s)
         fresh = position is None or position.incarnation != report.identity.incarnation
         if fresh or (position is not None and _has_gap(report, position.next_sequence)):
             self._resync(replica)
@@ -109,7 +109,7 @@
         self._forward(replica, position, report.events)
         position.next_sequence = report.next_sequence
 
-    def _note_unavailable(self, replica: Replica, measured_at_s: float) -> None:
+    def _mark_unavailable(self, replica: Replica, measured_at_s: float) -> None:
         with self._node.state.lock:
             changed = replica.state is ReplicaState.ACCEPTING
             if changed:
@@ -118,7 +118,7 @@
         if changed:
             log_event("replica_unavailable", "WARNING", replica=replica.replica_id)
 
-    def _note_report(self, replica: Replica, report: EngineReport, measured_at_s: float) -> None:
+    def _record_report(self, replica: Replica, report: EngineReport, measured_at_s: float) -> None:
         state = self._node.state
         with state.lock:
             replica.identity = report.identity
@@ -130,18 +130,18 @@
                 state.loads.publish(replica.replica_id, report.load, measured_at_s)
         # Against what the peers were told, not against what this daemon knows: the rollout leader,
         # or a refused dispatch, may have changed the latter.
-        if self._told.get(replica.replica_id) != report.identity:
-            self._told[replica.replica_id] = report.identity
+        if self._sent_identities.get(replica.replica_id) != report.identity:
+            self._sent_identities[replica.replica_id] = report.identity
             log_event(
                 "replica_identity",
                 replica=replica.replica_id,
                 incarnation=report.identity.incarnation,
                 weights_version=report.identity.weights_version,
             )
-            self._tell_peers(replica, report)
+            self._announce_identity(replica, report)
 
-    def _tell_peers(self, replica: Replica, report: EngineReport) -> None:
-        note = ReplicaNote(
+    def _announce_identity(self, replica: Replica, report: EngineReport) -> None:
+        note = ReplicaUpdate(
             replica.replica_id,
             report.identity.incarnation,
             report.identity.weights_version,
@@ -162,10 +162,10 @@
             position.families.record_stored(parent, (key,))
         self._positions[replica.replica_id] = position
         folded = {key: True for key, _ in snapshot.blocks}
-        notes = self._notes_by_owner(replica, position, folded)
+        notes = self._updates_by_owner(replica, position, folded)
         for member in self._node.live_members():
             first, *rest = notes.get(member.member_id) or [
-                BeliefNote(replica.replica_id, position.incarnation, (), ())
+                CacheUpdate(replica.replica_id, position.incarnation, (), ())
             ]
             self._node.send_to(member.member_id, msgspec.structs.replace(first, reset=True))
             for note in rest:
@@ -178,16 +178,16 @@
         """Fold events to what holds at their end, and send each family's part to its owner."""
         self.events_read += len(events)
         folded = position.families.apply_events(events)
-        for owner_id, notes in self._notes_by_owner(replica, position, folded).items():
+        for owner_id, notes in self._updates_by_owner(replica, position, folded).items():
             for note in notes:
                 self._node.send_to(owner_id, note)
         for key, stored in folded.items():
             if not stored:
                 position.families.forget(key)
 
-    def _notes_by_owner(
+    def _updates_by_owner(
         self, replica: Replica, position: _StreamPosition, folded: dict[int, bool]
-    ) -> dict[str, list[BeliefNote]]:
+    ) -> dict[str, list[CacheUpdate]]:
         members = [member.member_id for member in self._node.live_members()]
         owners: dict[int, str | None] = {}
         keys: dict[str, tuple[list[int], list[int]]] = {}
@@ -200,22 +200,22 @@
                 held, gone = keys.setdefault(owner_id, ([], []))
                 (held if stored else gone).append(key)
         return {
-            owner_id: _cut_notes(replica.replica_id, position.incarnation, held, gone)
+            owner_id: _split_into_updates(replica.replica_id, position.incarnation, held, gone)
             for owner_id, (held, gone) in keys.items()
         }
 
 
-def _cut_notes(
-    replica_id: str, incarnation: int, held: list[int], gone: list[int]
-) -> list[BeliefNote]:
+def _split_into_updates(
+    replica_id: str, incarnation: int, held: list[int], removed: list[int]
+) -> list[CacheUpdate]:
     return [
-        BeliefNote(
+        CacheUpdate(
             replica_id,
             incarnation,
-            tuple(held[start : start + NOTE_KEYS]),
-            tuple(gone[start : start + NOTE_KEYS]),
+            tuple(held[start : start + MAX_KEYS_PER_UPDATE]),
+            tuple(removed[start : start + MAX_KEYS_PER_UPDATE]),
         )
-        for start in range(0, max(len(held), len(gone)), NOTE_KEYS)
+        for start in range(0, max(len(held), len(removed)), MAX_KEYS_PER_UPDATE)
     ]
 
 
--- a/winchfork/cluster/messages.py
+++ b/winchfork/cluster/messages.py
@@ -33,7 +33,7 @@
     matched: dict[str, int]
 
 
-class BeliefNote(PeerMessage, frozen=True):
+class CacheUpdate(PeerMessage, frozen=True):
     """Beliefs about one replica for their owner: from a dispatch, a reply or folded events.
 
     ``held`` blocks are there, ``gone`` blocks are not, both under ``incarnation``. ``reset`` drops
@@ -43,11 +43,11 @@
     replica_id: str
     incarnation: int
     held: tuple[int, ...]
-    gone: tuple[int, ...]
+    removed: tuple[int, ...]
     reset: bool = False
 
 
-class ReplicaNote(PeerMessage, frozen=True):
+class ReplicaUpdate(PeerMessage, frozen=True):
     """A replica's identity as its reader saw it, passed to the region's daemons on change."""
 
     replica_id: str
@@ -57,7 +57,7 @@
     import_tokens_per_s: float
 
 
-class DocumentNotice(PeerMessage, frozen=True):
+class DocumentAnnouncement(PeerMessage, frozen=True):
     """Tells the sender's document revisions at once when one has changed."""
 
     revisions: tuple[int, ...]
@@ -109,9 +109,9 @@
     VouchReply,
     LookupRequest,
     LookupReply,
-    BeliefNote,
-    ReplicaNote,
-    DocumentNotice,
+    CacheUpdate,
+    ReplicaUpdate,
+    DocumentAnnouncement,
     DocumentPull,
     DocumentPart,
     ExplainRequest,
--- a/winchfork/cluster/node.py
+++ b/winchfork/cluster/node.py
@@ -11,15 +11,15 @@
 from typing import Any
 
 from winchfork.cluster.messages import (
-    BeliefNote,
-    DocumentNotice,
+    CacheUpdate,
+    DocumentAnnouncement,
     DocumentPart,
     DocumentPull,
     ExplainReply,
     ExplainRequest,
     LookupReply,
     LookupRequest,
-    ReplicaNote,
+    ReplicaUpdate,
 )
 from winchfork.cluster.state import DaemonState
 from winchfork.cluster.transport import PeerTransport
@@ -42,7 +42,7 @@
 
 #: Peers told at once when a document changes; with each doing the same, n daemons hear in about
 #: log(n) / log(NOTICE_FANOUT) hops.
-NOTICE_FANOUT = 4
+ANNOUNCE_FANOUT = 4
 
 
 class PeerNode:
@@ -61,15 +61,15 @@
             Probe: self._on_membership,
             ProbeReply: self._on_membership,
             IndirectProbe: self._on_membership,
-            DocumentNotice: self._on_document_notice,
+            DocumentAnnouncement: self._on_document_announcement,
             DocumentPull: self._on_document_pull,
             DocumentPart: self._on_document_part,
             LookupRequest: self._on_lookup_request,
             LookupReply: lambda message, _: self.transport.resolve(message.nonce, message),
             ExplainRequest: self._on_explain_request,
             ExplainReply: lambda message, _: self.transport.resolve(message.nonce, message),
-            BeliefNote: self._on_belief_note,
-            ReplicaNote: self._on_replica_note,
+            CacheUpdate: self._on_cache_update,
+            ReplicaUpdate: self._on_replica_update,
             VoteRequest: self._on_vote_request,
             VoteReply: self._on_vote_reply,
             VoteRelease: self._on_vote_release,
@@ -101,7 +101,7 @@
             members = self.live_members(include_own=False)
             outgoing = self.state.membership.tick(time.time())
         self._send_all(outgoing)
-        for member in members[:NOTICE_FANOUT]:
+        for member in members[:ANNOUNCE_FANOUT]:
             with self.state.lock:
                 probe = Probe(self.state.membership.own, 0, self.state.documents.revisions())
             self.transport.send(member.peer_address, probe)
@@ -159,24 +159,24 @@
         if not self.state.install_document(name, document):
             return False
         with self.state.lock:
-            notice = DocumentNotice(self.state.documents.revisions())
+            notice = DocumentAnnouncement(self.state.documents.revisions())
         members = self.live_members(include_own=False)
-        chosen = self._generator.sample(members, min(NOTICE_FANOUT, len(members)))
+        chosen = self._generator.sample(members, min(ANNOUNCE_FANOUT, len(members)))
         for member in chosen:
             self.transport.send(member.peer_address, notice)
         return True
 
     # --- votes ---
 
-    def listen_for_votes(self, attempt: str, listener: Callable[[VoteReply], None]) -> None:
+    def add_vote_listener(self, attempt: str, listener: Callable[[VoteReply], None]) -> None:
         """Deliver the vote replies of an attempt to ``listener``."""
         self._vote_listeners[attempt] = listener
 
-    def stop_listening(self, attempt: str) -> None:
+    def remove_vote_listener(self, attempt: str) -> None:
         """Drop later replies of an attempt."""
         self._vote_listeners.pop(attempt, None)
 
-    def listen_for_seals(self, panel_id: str, listener: Callable[[SealReply], None]) -> None:
+    def set_seal_listener(self, panel_id: str, listener: Callable[[SealReply], None]) -> None:
         """Deliver the seal replies of a panel to ``listener``."""
         self._seal_listeners[panel_id] = listener
 
@@ -186,13 +186,13 @@
         now_s = time.time()
         with self.state.lock:
             if not isinstance(message, IndirectProbe):
-                self._take_loads(message.loads, now_s)
+                self._handle_loads(message.loads, now_s)
             outgoing = self.state.membership.receive(message, now_s)
         self._send_all(outgoing)
         if not isinstance(message, IndirectProbe):
             self._pull_newer(message.revisions, sender)
 
-    def _take_loads(self, packed: bytes, now_s: float) -> None:
+    def _handle_loads(self, packed: bytes, now_s: float) -> None:
         if not packed:
             return
         by_hash = {
@@ -215,7 +215,7 @@
         for name, revision in wanted:
             self.transport.send(sender, DocumentPull(name.value, revision, 0))
 
-    def _on_document_notice(self, message: DocumentNotice, sender: str) -> None:
+    def _on_document_announcement(self, message: DocumentAnnouncement, sender: str) -> None:
         self._pull_newer(message.revisions, sender)
 
     def _on_document_pull(self, message: DocumentPull, sender: str) -> None:
@@ -244,26 +244,26 @@
         self.transport.send(sender, LookupReply(message.nonce, matched))
 
     def _on_explain_request(self, message: ExplainRequest, sender: str) -> None:
-        steps = self.explain_here(message.request_id)
+        steps = self.explain_locally(message.request_id)
         self.transport.send(sender, ExplainReply(message.nonce, steps))
 
-    def explain_here(self, request_id: str) -> str:
+    def explain_locally(self, request_id: str) -> str:
         """Return this daemon's decision log of a request as JSON text; empty when unknown."""
         with self.state.lock:
             steps = self.state.decisions.explain(request_id)
         return json.dumps(steps) if steps else ""
 
-    def _on_belief_note(self, message: BeliefNote, sender: str) -> None:
+    def _on_cache_update(self, message: CacheUpdate, sender: str) -> None:
         with self.state.lock:
             index = self.state.index
             if message.reset and index.fence(message.replica_id, message.incarnation):
                 index.forget(message.replica_id)
-            if message.gone:
-                index.drop_uncached(message.replica_id, message.incarnation, message.gone, 0)
+            if message.removed:
+                index.drop_uncached(message.replica_id, message.incarnation, message.removed, 0)
             if message.held:
                 index.assume_stored(message.replica_id, message.incarnation, message.held)
 
-    def _on_replica_note(self, message: ReplicaNote, sender: str) -> None:
+    def _on_replica_update(self, message: ReplicaUpdate, sender: str) -> None:
         with self.state.lock:
             replica = self.state.fleet.get(message.replica_id)
             if replica is None:
--- a/winchfork/cluster/panel_manager.py
+++ b/winchfork/cluster/panel_manager.py
@@ -22,7 +22,7 @@
 from winchfork.logs import log_event
 from winchfork.stores.key_value import Entry, KeyValueStore
 
-_PASS_PERIOD_S = 1.0
+_RECONCILE_PERIOD_S = 1.0
 #: A voter is replaced when it has been gone this long; a restart takes seconds.
 REPLACE_AFTER_S = 60.0
 #: Panels are not formed before the members had time to find each other.
@@ -46,10 +46,10 @@
 
     def run(self) -> None:
         """Reconcile until stopped; the body of one thread."""
-        while not self._stopping.wait(_PASS_PERIOD_S):
+        while not self._stopping.wait(_RECONCILE_PERIOD_S):
             try:
                 if self._node.is_relay("panels", RELAYS_PER_ZONE):
-                    self._pass()
+                    self._reconcile()
             except Exception as error:  # noqa: BLE001 - a surprise must not end the duty
                 log_event("panel_pass_failed", "ERROR", error=repr(error))
 
@@ -57,7 +57,7 @@
         """Stop reconciling."""
         self._stopping.set()
 
-    def _pass(self) -> None:
+    def _reconcile(self) -> None:
         now_s = boot_seconds()
         members = {member.member_id: member for member in self._node.live_members()}
         for member_id in members:
@@ -69,7 +69,7 @@
                 self._form(members)
             return
         for panel in panels:
-            self._tend(panel, members, now_s)
+            self._reconcile_panel(panel, members, now_s)
 
     # --- forming ---
 
@@ -80,18 +80,18 @@
         for panel in plan_panels(members, self._node.state.settings.claims.voters):
             text = json.dumps(panel_to_json(panel, None)).encode()
             self._store.compare_and_swap(panel_key(self._region, panel.panel_id), text, 0)
-        self._reread()
+        self._reload_panels()
 
     # --- changing ---
 
-    def _tend(self, panel: VoterPanel, members: dict[str, Member], now_s: float) -> None:
+    def _reconcile_panel(self, panel: VoterPanel, members: dict[str, Member], now_s: float) -> None:
         gone = [
             voter
             for voter in panel.voters
             if now_s - self._last_seen_s.get(voter, self._started_s) > self._replace_after_s
         ]
         with self._node.state.lock:
-            changing = panel.panel_id in self._node.state.intended_changes
+            changing = panel.panel_id in self._node.state.changing_panel_ids
         if not gone and not changing:
             return
         entry = self._store.get(panel_key(self._region, panel.panel_id))
@@ -100,7 +100,7 @@
         stored = json.loads(entry.value)
         if stored["epoch"] != panel.epoch:
             self._seals.pop(panel.panel_id, None)
-            self._reread()
+            self._reload_panels()
             return
         if stored["intent"] is None:
             self._write_intent(panel, entry, gone, members)
@@ -110,16 +110,16 @@
             self._activate(panel, entry, stored["intent"])
 
     def _write_intent(
-        self, panel: VoterPanel, entry: Entry, gone: list[str], members: dict[str, Member]
+        self, panel: VoterPanel, entry: Entry, dead_voters: list[str], members: dict[str, Member]
     ) -> None:
-        next_voters = replace_voters(panel, gone, members)
+        next_voters = replace_voters(panel, dead_voters, members)
         if next_voters is None:
             return
         text = json.dumps(panel_to_json(panel, list(next_voters))).encode()
         result = self._store.compare_and_swap(entry.key, text, entry.revision)
         if not isinstance(result, Failure):
             log_event("panel_change_intended", panel=panel.panel_id, epoch=panel.epoch)
-            self._reread()
+            self._reload_panels()
 
     def _collect_seals(self, panel: VoterPanel) -> None:
         replies = self._seals.setdefault(panel.panel_id, {})
@@ -130,7 +130,7 @@
             if reply.epoch == panel.epoch and newer:
                 replies[reply.voter] = reply
 
-        self._node.listen_for_seals(panel.panel_id, hear)
+        self._node.set_seal_listener(panel.panel_id, hear)
         for voter in panel.voters:
             self._node.send_to(voter, SealRequest(panel.panel_id, panel.epoch))
         self._stopping.wait(0.2)
@@ -144,9 +144,9 @@
         if not isinstance(result, Failure):
             log_event("panel_changed", panel=panel.panel_id, epoch=successor.epoch)
         self._seals.pop(panel.panel_id, None)
-        self._reread()
+        self._reload_panels()
 
-    def _reread(self) -> None:
+    def _reload_panels(self) -> None:
         document = read_panels(self._store, self._region)
         if isinstance(document, Document):
             self._node.install_document(DocumentName.PANELS, document)
@@ -170,13 +170,13 @@
 
 
 def replace_voters(
-    panel: VoterPanel, gone: list[str], members: dict[str, Member]
+    panel: VoterPanel, dead_voters: list[str], members: dict[str, Member]
 ) -> tuple[str, ...] | None:
     """Return the next voters, keeping zones apart; None when no member can step in."""
-    staying = [voter for voter in panel.voters if voter not in gone]
+    staying = [voter for voter in panel.voters if voter not in dead_voters]
     taken_zones = {members[voter].zone for voter in staying if voter in members}
     result = list(staying)
-    for departed in gone:
+    for departed in dead_voters:
         ranked = rendezvous_rank(f"{panel.panel_id}:{departed}", members)
         successor = next(
             (
--- a/winchfork/cluster/placement_lookup.py
+++ b/winchfork/cluster/placement_lookup.py
@@ -9,7 +9,7 @@
 import dataclasses
 import enum
 
-from winchfork.cluster.messages import BeliefNote, LookupReply, LookupRequest
+from winchfork.cluster.messages import CacheUpdate, LookupReply, LookupRequest
 from winchfork.cluster.node import PeerNode
 from winchfork.constants import LOOKUP_TIMEOUT_S
 from winchfork.core.families import add_blocks_above, keys_from_family
@@ -49,7 +49,7 @@
         owner = self._node.owner_of(prefix.family)
         state = self._node.state
         if owner is not None and owner.member_id != state.own_id:
-            reply = self._node.transport.ask(
+            reply = self._node.transport.request(
                 owner.peer_address,
                 lambda nonce: LookupRequest(nonce, tuple(keys)),
                 LOOKUP_TIMEOUT_S,
@@ -66,14 +66,14 @@
             add_blocks_above(matched, above), source, owner.member_id if owner else ""
         )
 
-    def note_dispatch(
+    def report_dispatch(
         self, prefix: PromptPrefix, replica_id: str, identity: ReplicaIdentity
     ) -> None:
         """Tell the owner that a replica is about to hold the prompt's blocks."""
         if not prefix.block_keys:
             return
         _, keys = keys_from_family(prefix)
-        note = BeliefNote(replica_id, identity.incarnation, tuple(keys), ())
+        note = CacheUpdate(replica_id, identity.incarnation, tuple(keys), ())
         state = self._node.state
         with state.lock:
             state.index.assume_stored(note.replica_id, note.incarnation, note.held)
--- a/winchfork/cluster/platform_sync.py
+++ b/winchfork/cluster/platform_sync.py
@@ -23,7 +23,7 @@
 from winchfork.stores.machine_list import MachineSource
 
 CONFIGURATION_KEY = "/winchfork/configuration"
-_FULL_READ_PERIODS = 10
+_PERIODS_PER_PANEL_READ = 10
 
 
 class PlatformSync:
@@ -39,7 +39,7 @@
     def start(self) -> None:
         """Start the threads."""
         for loop in (self._run_machines, self._run_configuration, self._run_panels):
-            self._pool.submit(self._guard, loop)
+            self._pool.submit(self._restart_on_error, loop)
 
     def stop(self) -> None:
         """Stop the threads."""
@@ -55,7 +55,7 @@
             self._install_configuration(entry)
         return None
 
-    def _guard(self, loop: object) -> None:
+    def _restart_on_error(self, loop: object) -> None:
         assert callable(loop)
         while not self._stopping.is_set():
             try:
@@ -119,7 +119,7 @@
     def _run_panels(self) -> None:
         period = 0
         while not self._stopping.is_set():
-            if period % _FULL_READ_PERIODS == 0 and self._is_relay():
+            if period % _PERIODS_PER_PANEL_READ == 0 and self._is_relay():
                 self._read_panels()
             self._certify_voters()
             period += 1
--- a/winchfork/cluster/state.py
+++ b/winchfork/cluster/state.py
@@ -59,7 +59,7 @@
         self.decisions = DecisionLog()
         self.panels: dict[str, VoterPanel] = {}
         self.voters: dict[str, ClaimVoter] = {}
-        self.intended_changes: set[str] = set()
+        self.changing_panel_ids: set[str] = set()
         self.stopping = False
         self._leaving: frozenset[str] = frozenset()
 
@@ -73,7 +73,7 @@
         claims = self.settings.claims
         return ClaimMargins(claims.future_margin_s, claims.restart_margin_s, claims.retention_s)
 
-    def note_decision(self, request_id: str, step: str, reason: str, **details: Any) -> None:
+    def record_decision(self, request_id: str, step: str, reason: str, **details: Any) -> None:
         """Add a step to the decision log and write it as an event."""
         event = DecisionEvent(time.time(), step, reason, details)
         with self.lock:
@@ -94,7 +94,7 @@
         log_event("document_installed", name=name.value, revision=document.revision)
         return True
 
-    def refresh_states(self) -> None:
+    def refresh_replica_states(self) -> None:
         """Recompute which back ends may get new work; call with the lock held."""
         draining = set(self.configuration.current.configuration.draining)
         for replica in self.fleet.replicas():
@@ -111,7 +111,7 @@
             log_event("configuration_unreadable", "ERROR", failure=configuration)
             return
         self.configuration.install(document.revision, configuration)
-        self.refresh_states()
+        self.refresh_replica_states()
 
     def _install_machines(self, machines: list[dict[str, str]]) -> None:
         listed = {item["id"]: item for item in machines if item["pool"]}
@@ -126,10 +126,10 @@
             if replica.replica_id not in listed:
                 self.fleet.remove(replica.replica_id)
                 self.index.forget(replica.replica_id)
-        self.refresh_states()
+        self.refresh_replica_states()
 
     def _install_panels(self, panels: list[dict[str, Any]]) -> None:
-        self.intended_changes = {item["panel_id"] for item in panels if item["intent"]}
+        self.changing_panel_ids = {item["panel_id"] for item in panels if item["intent"]}
         for item in panels:
             panel = panel_from_json(item)
             known = self.panels.get(panel.panel_id)
--- a/winchfork/cluster/transport.py
+++ b/winchfork/cluster/transport.py
@@ -37,7 +37,7 @@
         self.address = f"{host}:{port}"
         self._codec = codec
         self._nonces = itertools.count(1)
-        self._waiting: dict[int, Future[Any]] = {}
+        self._pending_replies: dict[int, Future[Any]] = {}
         self._lock = threading.Lock()
         self._stopping = threading.Event()
         self.sent_messages = 0
@@ -59,14 +59,14 @@
         self.sent_messages += 1
         self.sent_bytes += len(datagram)
 
-    def ask(
+    def request(
         self, address: str, make_request: Callable[[int], Any], timeout_s: float
     ) -> Any | Failure:
         """Send a request carrying a fresh nonce and wait for the reply with the same nonce."""
         nonce = next(self._nonces)
         future: Future[Any] = Future()
         with self._lock:
-            self._waiting[nonce] = future
+            self._pending_replies[nonce] = future
         try:
             self.send(address, make_request(nonce))
             return future.result(timeout=timeout_s)
@@ -76,12 +76,12 @@
             )
         finally:
             with self._lock:
-                self._waiting.pop(nonce, None)
+                self._pending_replies.pop(nonce, None)
 
     def resolve(self, nonce: int, reply: Any) -> None:
         """Hand a reply to whoever waits for its nonce; a late one is dropped."""
         with self._lock:
-            future = self._waiting.get(nonce)
+            future = self._pending_replies.get(nonce)
         if future is not None and not future.done():
             future.set_result(reply)
 
--- a/winchfork/cluster/waiting_store.py
+++ b/winchfork/cluster/waiting_store.py
@@ -10,7 +10,7 @@
 from winchfork.errors import Failure, FailureKind
 from winchfork.stores.key_value import Entry, KeyValueStore, compare_and_swap_until_resolved
 
-_HEADS_REMEMBERED = 2_000
+_MAX_KNOWN_HEADS = 2_000
 
 
 class WaitingStore:
@@ -34,7 +34,7 @@
             return written
         with self._lock:
             self._known_heads[digest] = None
-            while len(self._known_heads) > _HEADS_REMEMBERED:
+            while len(self._known_heads) > _MAX_KNOWN_HEADS:
                 self._known_heads.popitem(last=False)
         return None
 
@@ -102,7 +102,7 @@
             if written.kind is not FailureKind.REVISION_CONFLICT:
                 return written
 
-    def take_ownership(self, batch_id: str, owner_id: str, lease_id: int) -> bool:
+    def acquire_ownership(self, batch_id: str, owner_id: str, lease_id: int) -> bool:
         """Become a batch's owner for as long as the lease lasts; False when it has one."""
         key = self._key("owners", batch_id)
         written = self._store.compare_and_swap(key, owner_id.encode(), 0, lease_id)
--- a/winchfork/cluster/waiting_work.py
+++ b/winchfork/cluster/waiting_work.py
@@ -35,14 +35,14 @@
 LEASE_S = 6
 _RENEW_PERIOD_S = 2.0
 _RECORD_PERIOD_S = 0.5
-_WRITE_PATIENCE_S = 4.0
+_MAX_WRITE_WAIT_S = 4.0
 #: Requests of waiting work that one daemon runs at a time.
-RUNNERS = 8
+MAX_RUNNING_REQUESTS = 8
 
 RunRequest = Callable[[WaitingRequest, str, str], WaitingAnswer | Failure]
 
 
-class _Accepting:
+class _PendingBatch:
     """Requests gathered for the next batch."""
 
     def __init__(self) -> None:
@@ -61,11 +61,11 @@
         self._run_request = run_request
         self._stopping = threading.Event()
         self._lock = threading.Lock()
-        self._accepting = _Accepting()
-        self._runners = ThreadPoolExecutor(RUNNERS, thread_name_prefix="waiting")
+        self._pending_batch = _PendingBatch()
+        self._runners = ThreadPoolExecutor(MAX_RUNNING_REQUESTS, thread_name_prefix="waiting")
         self._lease_id = 0
-        self._lease_until_s = 0.0
-        self._write_until_s = 0.0
+        self._lease_expires_at_s = 0.0
+        self._write_deadline_s = 0.0
         self._owned: dict[str, WaitingBatch] = {}
         self._running: set[str] = set()
         self._answers: dict[str, dict[int, WaitingAnswer]] = {}
@@ -116,9 +116,9 @@
             return unknown
         return None
 
-    def _join_batch(self, request: WaitingRequest) -> tuple[_Accepting, int]:
+    def _join_batch(self, request: WaitingRequest) -> tuple[_PendingBatch, int]:
         with self._lock:
-            current = self._accepting
+            current = self._pending_batch
             full = (
                 len(current.requests) >= MAX_BATCH_REQUESTS
                 or current.tail_bytes + len(request.tail) > MAX_BATCH_BYTES
@@ -126,18 +126,18 @@
             )
             if full and current.requests:
                 threading.Thread(target=self._commit, args=(current,), daemon=True).start()
-                current = self._accepting = _Accepting()
+                current = self._pending_batch = _PendingBatch()
             current.requests.append(request)
             current.tail_bytes += len(request.tail)
             return current, len(current.requests) - 1
 
-    def _commit(self, accepting: _Accepting) -> None:
-        tenant = accepting.requests[0].tenant
-        batch = WaitingBatch(f"{tenant}~{uuid.uuid4().hex}", tuple(accepting.requests))
+    def _commit(self, pending: _PendingBatch) -> None:
+        tenant = pending.requests[0].tenant
+        batch = WaitingBatch(f"{tenant}~{uuid.uuid4().hex}", tuple(pending.requests))
         failure = self._store.put_batch(batch)
         if failure is None:
-            self._own(batch)
-        accepting.stored.set_result(batch if failure is None else failure)
+            self._acquire_batch(batch)
+        pending.stored.set_result(batch if failure is None else failure)
 
     # --- duties ---
 
@@ -146,7 +146,7 @@
         next_renewal_s = next_record_s = 0.0
         while not self._stopping.wait(GROUP_COMMIT_S):
             try:
-                self._commit_gathered()
+                self._commit_pending_batch()
                 now_s = boot_seconds()
                 if now_s >= next_renewal_s:
                     next_renewal_s = now_s + _RENEW_PERIOD_S
@@ -169,35 +169,35 @@
         self._runners.shutdown(wait=False, cancel_futures=True)
 
     def _keep_trying(self) -> bool:
-        return not self._stopping.wait(0.1) and boot_seconds() < self._write_until_s
+        return not self._stopping.wait(0.1) and boot_seconds() < self._write_deadline_s
 
-    def _commit_gathered(self) -> None:
+    def _commit_pending_batch(self) -> None:
         with self._lock:
-            gathered = self._accepting
+            gathered = self._pending_batch
             if not gathered.requests:
                 return
-            self._accepting = _Accepting()
-        self._write_until_s = boot_seconds() + _WRITE_PATIENCE_S
+            self._pending_batch = _PendingBatch()
+        self._write_deadline_s = boot_seconds() + _MAX_WRITE_WAIT_S
         self._commit(gathered)
 
-    def _own(self, batch: WaitingBatch) -> None:
+    def _acquire_batch(self, batch: WaitingBatch) -> None:
         if not self._has_lease():
             self._renew()
-        if self._has_lease() and self._store.take_ownership(
+        if self._has_lease() and self._store.acquire_ownership(
             batch.batch_id, self._node.state.own_id, self._lease_id
         ):
             with self._lock:
                 self._owned[batch.batch_id] = batch
 
     def _has_lease(self) -> bool:
-        return self._lease_id != 0 and boot_seconds() < self._lease_until_s
+        return self._lease_id != 0 and boot_seconds() < self._lease_expires_at_s
 
     def _renew(self) -> None:
         asked_at_s = boot_seconds()
         if self._lease_id:
             renewed = self._leases.renew_lease(self._lease_id)
             if not isinstance(renewed, Failure):
-                self._lease_until_s = asked_at_s + LEASE_S - _RENEW_PERIOD_S / 2
+                self._lease_expires_at_s = asked_at_s + LEASE_S - _RENEW_PERIOD_S / 2
                 return
             if self._has_lease() and renewed.kind is not FailureKind.NOT_FOUND:
                 return
@@ -208,7 +208,7 @@
         granted = self._leases.grant_lease(LEASE_S)
         if not isinstance(granted, Failure):
             self._lease_id = granted
-            self._lease_until_s = asked_at_s + LEASE_S - _RENEW_PERIOD_S / 2
+            self._lease_expires_at_s = asked_at_s + LEASE_S - _RENEW_PERIOD_S / 2
 
     def _take_over_orphans(self) -> None:
         if not self._has_lease():
@@ -219,7 +219,7 @@
         for batch in batches:
             if batch.batch_id in self._owned or self._store.has_owner(batch.batch_id):
                 continue
-            self._own(batch)
+            self._acquire_batch(batch)
             if batch.batch_id in self._owned:
                 log_event("waiting_batch_taken_over", batch=batch.batch_id)
 
@@ -249,7 +249,7 @@
             if number in recorded.answers:
                 self._answers.setdefault(batch.batch_id, {})[number] = recorded.answers[number]
                 continue
-            if len(self._running) >= RUNNERS:
+            if len(self._running) >= MAX_RUNNING_REQUESTS:
                 return False
             self._running.add(batch.request_id(number))
             self._runners.submit(self._run_one, batch, number)
--- a/winchfork/cluster/wire.py
+++ b/winchfork/cluster/wire.py
@@ -21,15 +21,15 @@
 _TAG_BYTES = 16
 _BODY_START = _TAG_BYTES + 1
 #: Type numbers take one byte.
-_MOST_TYPES = 256
+_MAX_TYPES = 256
 
 
 class PeerCodec:
     """Encodes and decodes the registered message types; the order of registration is the wire."""
 
     def __init__(self, key: bytes, message_types: tuple[type[PeerMessage], ...]) -> None:
-        if len(message_types) > _MOST_TYPES:
-            raise ValueError(f"at most {_MOST_TYPES} message types, not {len(message_types)}")
+        if len(message_types) > _MAX_TYPES:
+            raise ValueError(f"at most {_MAX_TYPES} message types, not {len(message_types)}")
         self._key = hashlib.blake2b(key, digest_size=32).digest()
         self._numbers = {
             message_type: bytes([number]) for number, message_type in enumerate(message_types)
--- a/winchfork/control/rpc_server.py
+++ b/winchfork/control/rpc_server.py
@@ -184,13 +184,13 @@
         self, request: pb.ExplainRequest, context: grpc.ServicerContext
     ) -> pb.ExplainReply:
         """Find a request's decisions here or at the daemon that its id names."""
-        steps = self._node.explain_here(request.request_id)
+        steps = self._node.explain_locally(request.request_id)
         if steps:
             return _explanation(self._state.own_id, steps)
         for member in self._node.live_members(include_own=False):
             if not request.request_id.startswith(f"{member.member_id}-"):
                 continue
-            reply = self._node.transport.ask(
+            reply = self._node.transport.request(
                 member.peer_address,
                 lambda nonce: ExplainRequest(nonce, request.request_id),
                 _EXPLAIN_TIMEOUT_S,
--- a/winchfork/daemon.py
+++ b/winchfork/daemon.py
@@ -32,7 +32,7 @@
 from winchfork.gateway.metrics import GatewayMetrics
 from winchfork.gateway.relay import Relay
 from winchfork.gateway.server import PooledServer
-from winchfork.gateway.stored_runs import StoredRunner
+from winchfork.gateway.stored_request_runner import StoredRequestRunner
 from winchfork.logs import log_event
 from winchfork.settings import Settings
 from winchfork.stores.etcd_json import EtcdJsonStore
@@ -73,7 +73,7 @@
         self.metrics = GatewayMetrics()
         generations = GenerationRouter(self.state, PlacementLookup(self.node), engine, self.metrics)
         relay = Relay(self.state, self._client, ClaimClient(self.node), self.metrics)
-        stored = StoredRunner(self.state, generations)
+        stored = StoredRequestRunner(self.state, generations)
         self._waiting = WaitingWork(self.node, store, stored.run)
         application = GatewayApplication(
             self.state, generations, relay, self.metrics, self._waiting
--- a/winchfork/emulator/capacity.py
+++ b/winchfork/emulator/capacity.py
@@ -12,7 +12,7 @@
 
 import cbor2
 
-from winchfork.cluster.messages import MESSAGE_TYPES, BeliefNote, LookupReply, LookupRequest
+from winchfork.cluster.messages import MESSAGE_TYPES, CacheUpdate, LookupReply, LookupRequest
 from winchfork.cluster.wire import PeerCodec
 from winchfork.core.cache_index import CacheEvent, CacheIndex, EventKind
 from winchfork.core.claims import Claim, ClaimVoter, VoterPanel
@@ -320,7 +320,7 @@
             held, gone = by_owner.setdefault(families.owner_key(key) % 8, ([], []))
             (held if stored else gone).append(key)
         for held, gone in by_owner.values():
-            datagram = _CODEC.encode(BeliefNote("replica-0", 1, tuple(held), tuple(gone)))
+            datagram = _CODEC.encode(CacheUpdate("replica-0", 1, tuple(held), tuple(gone)))
             assert isinstance(datagram, bytes)
             notes += 1
             note_bytes += len(datagram)
--- a/winchfork/emulator/hollow.py
+++ b/winchfork/emulator/hollow.py
@@ -18,11 +18,11 @@
 
 from winchfork.cluster.messages import (
     MESSAGE_TYPES,
-    DocumentNotice,
+    DocumentAnnouncement,
     DocumentPart,
     DocumentPull,
 )
-from winchfork.cluster.node import NOTICE_FANOUT
+from winchfork.cluster.node import ANNOUNCE_FANOUT
 from winchfork.cluster.wire import PeerCodec
 from winchfork.constants import HEARTBEAT_PERIOD_S
 from winchfork.core.documents import Document, DocumentName, DocumentSet
@@ -186,7 +186,7 @@
         self._send(daemon, encoded)
 
     def _handle(self, daemon: HollowDaemon, message: Any, sender: str) -> list[Outgoing]:
-        if isinstance(message, DocumentNotice):
+        if isinstance(message, DocumentAnnouncement):
             return self._pull(daemon, message.revisions, sender)
         if isinstance(message, DocumentPull):
             document, data = daemon.documents.part(DocumentName(message.name), message.offset)
@@ -232,8 +232,8 @@
             for member in daemon.membership.members(include_leaving=False)
             if member.peer_address != daemon.address
         ]
-        chosen = daemon.generator.sample(members, min(NOTICE_FANOUT, len(members)))
-        notice = DocumentNotice(daemon.documents.revisions())
+        chosen = daemon.generator.sample(members, min(ANNOUNCE_FANOUT, len(members)))
+        notice = DocumentAnnouncement(daemon.documents.revisions())
         outgoing = [_outgoing(member.peer_address, notice) for member in chosen]
         self._send(daemon, self._encode(daemon, outgoing))
 
--- a/winchfork/gateway/admission_gate.py
+++ b/winchfork/gateway/admission_gate.py
@@ -50,7 +50,7 @@
     def _await_turn(
         self, request_id: str, caller: Waiter, admitted: Future[None]
     ) -> Failure | None:
-        self._state.note_decision(request_id, "queued", "no_free_slot")
+        self._state.record_decision(request_id, "queued", "no_free_slot")
         while True:
             try:
                 admitted.result(timeout=_TICKET_POLL_S)
--- a/winchfork/gateway/app.py
+++ b/winchfork/gateway/app.py
@@ -133,7 +133,7 @@
         if isinstance(context, Failure):
             return self._refuse(context, request_id)
         caller = _caller(request, context)
-        self._note_arrival(request_id, context, pool)
+        self._record_arrival(request_id, context, pool)
         if "respond-async" in request.headers.get("Prefer", ""):
             return self._accept(request_id, pool, parsed, context)
         if parsed.stream:
@@ -155,14 +155,14 @@
             request_id, pool, parsed, context, caller, lambda text: events.send(shape.piece(text))
         )
         if isinstance(result, GenerationResult):
-            self._metrics.request_ended("completed")
+            self._metrics.count_request("completed")
             events.send(shape.end(result.end.finish_reason, _usage(parsed, result)))
             events.finish()
             return None
         if not events.started:
             return self._refuse(result, request_id)
-        self._metrics.request_ended(result.kind.value)
-        events.send(shape.broken(result, request_id))
+        self._metrics.count_request(result.kind.value)
+        events.send(shape.error_event(result, request_id))
         events.finish()
         return None
 
@@ -178,7 +178,7 @@
         result = self._generations.run(request_id, pool, parsed, context, caller, parts.append)
         if isinstance(result, Failure):
             return self._refuse(result, request_id)
-        self._metrics.request_ended("completed")
+        self._metrics.count_request("completed")
         body = _format(request_id, parsed).whole(
             "".join(parts), result.end.finish_reason, _usage(parsed, result)
         )
@@ -210,7 +210,7 @@
         accepted = self._waiting.accept(waiting, parsed.prompt)
         if isinstance(accepted, Failure):
             return self._refuse(accepted, request_id)
-        self._state.note_decision(request_id, "accepted", "stored", waiting_id=accepted)
+        self._state.record_decision(request_id, "accepted", "stored", waiting_id=accepted)
         body = {"id": accepted, "object": "winchfork.waiting_request", "status": "waiting"}
         response = _json(body, request_id)
         response.status_code = 202
@@ -265,11 +265,11 @@
             body,
             dict(request.headers.items()),
         )
-        self._note_arrival(request_id, context, pool)
+        self._record_arrival(request_id, context, pool)
         answer = self._relay.run(request_id, pool, relayed, context, _caller(request, context))
         if isinstance(answer, Failure):
             return self._refuse(answer, request_id)
-        self._metrics.request_ended("completed")
+        self._metrics.count_request("completed")
         response = Response(answer.body, status=answer.status, content_type=answer.content_type)
         response.headers["X-Request-Id"] = request_id
         if answer.replayed:
@@ -291,8 +291,8 @@
             )
         return read_context(request, tenant, pool, configuration)
 
-    def _note_arrival(self, request_id: str, context: CallerContext, pool: Pool) -> None:
-        self._state.note_decision(
+    def _record_arrival(self, request_id: str, context: CallerContext, pool: Pool) -> None:
+        self._state.record_decision(
             request_id,
             "arrived",
             "accepted_for_routing",
@@ -304,7 +304,7 @@
         )
 
     def _refuse(self, failure: Failure, request_id: str) -> Response:
-        self._metrics.request_ended(failure.kind.value)
+        self._metrics.count_request(failure.kind.value)
         log_event("request_refused", "DEBUG", request=request_id, failure=failure)
         return error_response(failure, request_id)
 
--- a/winchfork/gateway/attempt_placement.py
+++ b/winchfork/gateway/attempt_placement.py
@@ -17,7 +17,7 @@
 from winchfork.gateway.requests import CallerContext, GenerationRequest
 
 #: Replicas held for unavailable that one request asks at most.
-_DOUBTFUL_ASKED = 3
+_MAX_STATE_QUERIES = 3
 
 
 @dataclasses.dataclass
@@ -82,8 +82,8 @@
         if identity.weights_version != version:
             scope = CacheScope(context.tenant.name, request.model, identity.weights_version)
             prefix = prompt_prefix(scope, request.prompt.encode())
-        self._lookup.note_dispatch(prefix, replica.replica_id, identity)
-        self._note_placement(request_id, attempt_id, decision, found, identity)
+        self._lookup.report_dispatch(prefix, replica.replica_id, identity)
+        self._record_placement(request_id, attempt_id, decision, found, identity)
         import_address = source.address if source is not None else ""
         return PlacedAttempt(attempt_id, replica, identity, decision, scope, prefix, import_address)
 
@@ -97,15 +97,15 @@
             replicas = self._state.fleet.candidates(pool.name, time.time(), frozenset(excluded))
             unknown = [replica for replica in replicas if replica.identity is None]
         if not replicas:
-            return self._ask_doubtful(pool, excluded)
+            return self._query_possibly_available(pool, excluded)
         known = [replica for replica in replicas if replica.identity is not None]
         for replica in unknown[:1] if known else unknown:
-            if self._ask(replica):
+            if self._query_identity(replica):
                 known.append(replica)
         known.sort(key=lambda replica: replica.replica_id)
         return known
 
-    def _ask_doubtful(self, pool: Pool, excluded: set[str]) -> list[Replica]:
+    def _query_possibly_available(self, pool: Pool, excluded: set[str]) -> list[Replica]:
         """Ask a few replicas that are held for unavailable before a request is refused.
 
         That belief comes by gossip and can be a second old, which matters while replicas take turns
@@ -113,12 +113,12 @@
         """
         with self._state.lock:
             doubtful = self._state.fleet.possibly_available(pool.name, frozenset(excluded))
-        for replica in doubtful[:_DOUBTFUL_ASKED]:
-            if self._ask(replica):
+        for replica in doubtful[:_MAX_STATE_QUERIES]:
+            if self._query_identity(replica):
                 return [replica]
         return []
 
-    def _ask(self, replica: Replica) -> bool:
+    def _query_identity(self, replica: Replica) -> bool:
         """Ask a replica who it is; False when it does not answer or takes no work."""
         report = self._engine.report(replica.address, 1 << 60)
         if isinstance(report, Failure) or not report.accepting:
@@ -128,7 +128,7 @@
             replica.update_load(report.load, time.time())
         return True
 
-    def _note_placement(
+    def _record_placement(
         self,
         request_id: str,
         attempt_id: str,
@@ -136,7 +136,7 @@
         found: LookupResult,
         identity: ReplicaIdentity,
     ) -> None:
-        self._state.note_decision(
+        self._state.record_decision(
             request_id,
             "placed",
             decision.reason.value,
--- a/winchfork/gateway/caller.py
+++ b/winchfork/gateway/caller.py
@@ -28,7 +28,7 @@
         ...
 
 
-class StoredWaiter:
+class StoredRequestWaiter:
     """Waits on behalf of stored work; only its deadline ends it."""
 
     def __init__(self, deadline_at_s: float) -> None:
--- a/winchfork/gateway/generation.py
+++ b/winchfork/gateway/generation.py
@@ -39,14 +39,14 @@
 from winchfork.gateway.stream_progress import StreamProgress
 
 #: Failures after which nothing more is tried: nobody waits, or time is up.
-_FINAL = (FailureKind.CALLER_LEFT, FailureKind.DEADLINE_EXCEEDED)
+_FINAL_FAILURES = (FailureKind.CALLER_LEFT, FailureKind.DEADLINE_EXCEEDED)
 #: Refusals of an engine that has not begun.
-_REPLACEABLE = (FailureKind.FENCE_MISMATCH, FailureKind.NOT_ACCEPTING_WORK)
+_NOT_STARTED_FAILURES = (FailureKind.FENCE_MISMATCH, FailureKind.NOT_ACCEPTING_WORK)
 #: Failures after which this daemon avoids the replica for a while.
-_AVOIDED = (FailureKind.BACKEND_UNREACHABLE, FailureKind.NOT_ACCEPTING_WORK)
+_AVOIDANCE_FAILURES = (FailureKind.BACKEND_UNREACHABLE, FailureKind.NOT_ACCEPTING_WORK)
 #: Failures whose next placement costs no retry: nothing ran, and the cause is dealt with (the
 #: replica is avoided, or its identity asked again), so they cannot repeat at traffic's rate.
-_FREE_TO_PLACE_AGAIN = (*_AVOIDED, FailureKind.FENCE_MISMATCH)
+_FREE_RETRY_FAILURES = (*_AVOIDANCE_FAILURES, FailureKind.FENCE_MISMATCH)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -86,7 +86,7 @@
         admitted_at_s = boot_seconds()
         refusal = self._gate.admit(request_id, context, caller)
         if refusal is not None:
-            self._state.note_decision(
+            self._state.record_decision(
                 request_id, "refused", refusal.kind.value, detail=refusal.reason
             )
             return refusal
@@ -111,7 +111,7 @@
         failure: Failure | None = None
         for _ in range(MAX_PLACEMENTS_PER_REQUEST):
             if failure is not None and not self._may_place_again(failure):
-                self._state.note_decision(request_id, "gave_up", "retry_budget_spent")
+                self._state.record_decision(request_id, "gave_up", "retry_budget_spent")
                 return _final_failure(failure, progress)
             attempt = self._placement.place(request_id, pool, request, context, excluded)
             if isinstance(attempt, Failure):
@@ -119,7 +119,7 @@
                 return _final_failure(chosen, progress)
             result = self._dispatch(request_id, attempt, request, context, caller, progress)
             if isinstance(result, StreamEnd):
-                self._state.note_decision(
+                self._state.record_decision(
                     request_id,
                     "completed",
                     result.finish_reason.value,
@@ -128,7 +128,7 @@
                 )
                 return GenerationResult(result, progress.cached_tokens)
             failure = result
-            self._state.note_decision(
+            self._state.record_decision(
                 request_id,
                 "attempt_failed",
                 failure.kind.value,
@@ -136,16 +136,16 @@
                 detail=failure.reason,
                 tokens_sent=progress.tokens,
             )
-            if failure.kind in _FINAL:
+            if failure.kind in _FINAL_FAILURES:
                 return _final_failure(failure, progress)
             excluded |= self._after_failure(attempt, failure)
         assert failure is not None
         return _final_failure(failure, progress)
 
     def _may_place_again(self, failure: Failure) -> bool:
-        return failure.kind in _FREE_TO_PLACE_AGAIN or self._may_retry()
+        return failure.kind in _FREE_RETRY_FAILURES or self._spend_retry()
 
-    def _may_retry(self) -> bool:
+    def _spend_retry(self) -> bool:
         with self._state.lock:
             return self._state.retry_budget.try_spend()
 
@@ -158,7 +158,7 @@
                 if replica.identity == attempt.identity:
                     replica.identity = None
                 return set()
-            if failure.kind in _AVOIDED:
+            if failure.kind in _AVOIDANCE_FAILURES:
                 replica.avoided_until_s = time.time() + AVOID_AFTER_FAILURE_S
         return {replica.replica_id}
 
@@ -181,14 +181,14 @@
                     ran=RunState.UNKNOWN,
                 )
             progress.cached_tokens = start.cached_tokens
-            self._note_start(request_id, attempt, start, boot_seconds() - sent_at_s)
+            self._record_start(request_id, attempt, start, boot_seconds() - sent_at_s)
             return None
 
         def on_piece(piece: StreamPiece) -> Failure | None:
             if not first_piece.is_set():
                 first_piece.set()
-                self._metrics.first_token(context, boot_seconds() - sent_at_s)
-            return progress.take(piece)
+                self._metrics.observe_first_token(context, boot_seconds() - sent_at_s)
+            return progress.forward(piece)
 
         dispatch = Dispatch(
             attempt_id=attempt.attempt_id,
@@ -206,12 +206,12 @@
         callbacks = StreamCallbacks(on_start, on_piece, caller.check)
         try:
             result = self._engine.generate(attempt.replica.address, dispatch, callbacks)
-            if _is_resumable(result) and first_piece.is_set() and self._may_retry():
+            if _is_resumable(result) and first_piece.is_set() and self._spend_retry():
                 result = self._resume(request_id, attempt, dispatch, callbacks, progress)
         finally:
             with self._state.lock:
                 attempt.replica.remove_dispatch(attempt.attempt_id)
-        if isinstance(result, Failure) and result.kind not in _REPLACEABLE:
+        if isinstance(result, Failure) and result.kind not in _NOT_STARTED_FAILURES:
             self._engine.cancel(attempt.replica.address, attempt.attempt_id)
         return result
 
@@ -224,21 +224,21 @@
         progress: StreamProgress,
     ) -> StreamEnd | Failure:
         """Ask the same incarnation for the rest of the same attempt's stream."""
-        self._state.note_decision(
+        self._state.record_decision(
             request_id, "resumed", "stream_broke", attempt=attempt.attempt_id, at=progress.tokens
         )
         resumed = dataclasses.replace(dispatch, resume_offset=progress.tokens)
         quiet = dataclasses.replace(callbacks, on_start=lambda start: None)
         return self._engine.generate(attempt.replica.address, resumed, quiet)
 
-    def _note_start(
+    def _record_start(
         self, request_id: str, attempt: PlacedAttempt, start: StreamStart, waited_s: float
     ) -> None:
         with self._state.lock:
             attempt.replica.remove_dispatch(attempt.attempt_id)
         observed = start.cached_tokens // BLOCK_TOKENS
-        self._metrics.reuse(attempt.prefix.prompt_tokens, start.cached_tokens)
-        self._state.note_decision(
+        self._metrics.count_prompt_tokens(attempt.prefix.prompt_tokens, start.cached_tokens)
+        self._state.record_decision(
             request_id,
             "first_token",
             "engine_reported",
--- a/winchfork/gateway/metrics.py
+++ b/winchfork/gateway/metrics.py
@@ -43,20 +43,20 @@
             "winchfork_index_blocks", "Blocks in the cache index", registry=self.registry
         )
 
-    def request_ended(self, outcome: str) -> None:
+    def count_request(self, outcome: str) -> None:
         """Count a request by its outcome: ``completed`` or a failure's code."""
         self._requests.labels(outcome).inc()
 
-    def first_token(self, context: CallerContext, seconds: float) -> None:
+    def observe_first_token(self, context: CallerContext, seconds: float) -> None:
         """Record a time to first token."""
         self._first_token.labels(context.traffic_class.name).observe(seconds)
 
-    def reuse(self, prompt_tokens: int, cached_tokens: int) -> None:
+    def count_prompt_tokens(self, prompt_tokens: int, cached_tokens: int) -> None:
         """Count reused and dispatched prompt tokens."""
         self._prompt_tokens.inc(prompt_tokens)
         self._cached_tokens.inc(min(prompt_tokens, cached_tokens))
 
-    def claim(self, result: str) -> None:
+    def count_claim(self, result: str) -> None:
         """Count a claim by its result."""
         self._claims.labels(result).inc()
 
--- a/winchfork/gateway/relay.py
+++ b/winchfork/gateway/relay.py
@@ -15,7 +15,7 @@
 
 from winchfork.backends.http_client import HttpAnswer, HttpClient, HttpRequest
 from winchfork.boot_clock import boot_seconds
-from winchfork.cluster.claim_client import ClaimClient, ClaimRequest, KeptOutcome, WonClaim
+from winchfork.cluster.claim_client import ClaimClient, ClaimRequest, RecordedOutcome, WonClaim
 from winchfork.cluster.state import DaemonState
 from winchfork.constants import AVOID_AFTER_FAILURE_S, CLAIM_TIMEOUT_S
 from winchfork.core.configuration import Pool
@@ -26,8 +26,8 @@
 from winchfork.gateway.requests import CallerContext
 
 #: The largest answer body kept with a claim.
-KEPT_BODY_BYTES = 8_192
-_PASSED_HEADERS = ("content-type", "accept", "accept-language", "traceparent")
+MAX_RECORDED_BODY_BYTES = 8_192
+_FORWARDED_HEADERS = ("content-type", "accept", "accept-language", "traceparent")
 _MAX_ATTEMPTS = 3
 
 
@@ -92,7 +92,7 @@
         excluded: set[str] = set()
         failure = _no_back_end(pool)
         for number in range(_MAX_ATTEMPTS):
-            if number > 0 and not self._may_retry():
+            if number > 0 and not self._spend_retry():
                 return failure
             replica = self._choose(request_id, pool, excluded)
             if replica is None:
@@ -101,13 +101,13 @@
             if not isinstance(answer, Failure):
                 return answer
             failure = answer
-            self._note_failure(request_id, replica, failure)
+            self._record_failure(request_id, replica, failure)
             excluded.add(replica.replica_id)
             if failure.kind in (FailureKind.CALLER_LEFT, FailureKind.DEADLINE_EXCEEDED):
                 return failure
         return failure
 
-    def _may_retry(self) -> bool:
+    def _spend_retry(self) -> bool:
         with self._state.lock:
             return self._state.retry_budget.try_spend()
 
@@ -127,9 +127,9 @@
             if not isinstance(answer, Failure):
                 return answer
             failure = answer
-            self._note_failure(request_id, replica, failure)
+            self._record_failure(request_id, replica, failure)
             if failure.ran is not RunState.NOT_RUN:
-                return _unknown(failure)
+                return _outcome_unknown(failure)
             excluded.add(replica.replica_id)
         return failure
 
@@ -152,17 +152,17 @@
         claim = self._claims.obtain(claim_request)
         waited_s = round(boot_seconds() - started_s, 5)
         if isinstance(claim, Failure):
-            self._metrics.claim(claim.kind.value)
-            self._state.note_decision(
+            self._metrics.count_claim(claim.kind.value)
+            self._state.record_decision(
                 request_id, "claim_refused", claim.kind.value, detail=claim.reason
             )
             return claim
-        if isinstance(claim, KeptOutcome):
-            self._metrics.claim("replayed")
-            self._state.note_decision(request_id, "claim_replayed", "key_already_answered")
+        if isinstance(claim, RecordedOutcome):
+            self._metrics.count_claim("replayed")
+            self._state.record_decision(request_id, "claim_replayed", "key_already_answered")
             return _decode_outcome(claim.outcome)
-        self._metrics.claim("won")
-        self._state.note_decision(request_id, "claim_won", "majority", waited_s=waited_s)
+        self._metrics.count_claim("won")
+        self._state.record_decision(request_id, "claim_won", "majority", waited_s=waited_s)
         return self._dispatch_claimed(request_id, pool, request, caller, claim)
 
     def _dispatch_claimed(
@@ -195,7 +195,7 @@
         if not near:
             return None
         replica = near[turn % len(near)]
-        self._state.note_decision(
+        self._state.record_decision(
             request_id, "placed", "rotation_near", replica=replica.replica_id, zone=replica.zone
         )
         return replica
@@ -206,7 +206,7 @@
         headers = {
             name: value
             for name, value in request.headers.items()
-            if name.lower() in _PASSED_HEADERS
+            if name.lower() in _FORWARDED_HEADERS
         }
         answer = self._client.exchange(
             HttpRequest(
@@ -226,8 +226,8 @@
             )
         return answer
 
-    def _note_failure(self, request_id: str, replica: Replica, failure: Failure) -> None:
-        self._state.note_decision(
+    def _record_failure(self, request_id: str, replica: Replica, failure: Failure) -> None:
+        self._state.record_decision(
             request_id,
             "attempt_failed",
             failure.kind.value,
@@ -247,7 +247,7 @@
     )
 
 
-def _unknown(failure: Failure) -> Failure:
+def _outcome_unknown(failure: Failure) -> Failure:
     return FailureKind.OUTCOME_UNKNOWN.because(
         f"the request was sent and its answer did not arrive ({failure.reason})",
         remedy="ask with the same key; do not send the command under a new one",
@@ -256,7 +256,7 @@
 
 
 def _encode_outcome(answer: RelayAnswer) -> bytes:
-    fits = len(answer.body) <= KEPT_BODY_BYTES
+    fits = len(answer.body) <= MAX_RECORDED_BODY_BYTES
     return cbor2.dumps([answer.status, answer.content_type, answer.body if fits else None])
 
 
--- a/winchfork/gateway/responses.py
+++ b/winchfork/gateway/responses.py
@@ -91,7 +91,7 @@
         tail = json.dumps({"choices": [choice], "usage": usage})[1:]
         return f"data: {self._chunk_head}, {tail}\n\ndata: [DONE]\n\n".encode()
 
-    def broken(self, failure: Failure, request_id: str) -> bytes:
+    def error_event(self, failure: Failure, request_id: str) -> bytes:
         """Return the event that ends a stream that cannot be completed; no DONE follows."""
         body = json.dumps(error_body(failure, request_id))
         return f"event: error\ndata: {body}\n\n".encode()
--- a/winchfork/gateway/server.py
+++ b/winchfork/gateway/server.py
@@ -114,7 +114,7 @@
         self._tls = tls
         self._pool = ThreadPoolExecutor(workers, thread_name_prefix="http")
         self._slots = threading.BoundedSemaphore(workers)
-        self.refused_busy = 0
+        self.refused_connections = 0
 
     @property
     def address(self) -> str:
@@ -153,7 +153,7 @@
             self.shutdown_request(request)
 
     def _refuse(self, request: Any) -> None:
-        self.refused_busy += 1
+        self.refused_connections += 1
         try:
             request.settimeout(1.0)
             request.sendall(_BUSY_ANSWER)
--- a/winchfork/gateway/stored_runs.py
+++ b/winchfork/gateway/stored_request_runner.py
@@ -7,7 +7,7 @@
 from winchfork.core.configuration import Tenant
 from winchfork.core.waiting import WaitingAnswer, WaitingRequest
 from winchfork.errors import Failure, FailureKind
-from winchfork.gateway.caller import StoredWaiter
+from winchfork.gateway.caller import StoredRequestWaiter
 from winchfork.gateway.generation import GenerationRouter
 from winchfork.gateway.requests import CallerContext, GenerationRequest
 
@@ -15,7 +15,7 @@
 RUN_DEADLINE_S = 600.0
 
 
-class StoredRunner:
+class StoredRequestRunner:
     """The ``run_request`` of :class:`winchfork.cluster.waiting_work.WaitingWork`."""
 
     def __init__(self, state: DaemonState, generations: GenerationRouter) -> None:
@@ -49,7 +49,7 @@
             pool,
             GenerationRequest(stored.model, prompt, stored.max_tokens, False, stored.is_chat),
             context,
-            StoredWaiter(boot_seconds() + RUN_DEADLINE_S),
+            StoredRequestWaiter(boot_seconds() + RUN_DEADLINE_S),
             parts.append,
         )
         if isinstance(result, Failure):
--- a/winchfork/gateway/stream_progress.py
+++ b/winchfork/gateway/stream_progress.py
@@ -23,7 +23,7 @@
         """Everything passed on."""
         return "".join(self.parts)
 
-    def take(self, piece: StreamPiece) -> Failure | None:
+    def forward(self, piece: StreamPiece) -> Failure | None:
         """Pass one piece on if it continues the stream; drop a repeat; refuse a gap."""
         if piece.offset + piece.token_count <= self.tokens:
             return None
