--- a/benchmarks/commands_under_failure.py
+++ b/benchmarks/commands_under_failure.py
@@ -24,7 +24,7 @@
 from winchfork.errors import Failure
 from winchfork.logs import configure_logs
 
-_TRIES = 5
+_MAX_ATTEMPTS = 5
 _PAUSE_S = 0.4
 _SPREAD_S = 60.0
 _CRASH_PERIOD_S = 5.0
@@ -37,8 +37,8 @@
         self.emulated = emulated
         self.client = HttpClient()
         self.outcomes: Counter[str] = Counter()
-        self.told: dict[str, str] = {}
-        self.claim_ms: list[float] = []
+        self.outcome_by_order: dict[str, str] = {}
+        self.first_attempt_ms: list[float] = []
         self.lock = threading.Lock()
         self.over = threading.Event()
         self.crashes = 0
@@ -48,7 +48,7 @@
         order = f"stop turbine {number}"
         key = new_command_key()
         outcome = "unknown"
-        for attempt in range(_TRIES):
+        for attempt in range(_MAX_ATTEMPTS):
             settings = self.fleet.settings[(number + attempt) % len(self.fleet.settings)]
             request = HttpRequest(
                 "POST",
@@ -68,13 +68,13 @@
                 outcome = _read_outcome(answer.status, answer.body)
                 if outcome == "answered" and attempt == 0:
                     with self.lock:
-                        self.claim_ms.append((time.perf_counter() - started_s) * 1000)
+                        self.first_attempt_ms.append((time.perf_counter() - started_s) * 1000)
                 if outcome in ("answered", "not_run", "ran"):
                     break
             time.sleep(_PAUSE_S)
         with self.lock:
             self.outcomes[outcome] += 1
-            self.told[order] = outcome
+            self.outcome_by_order[order] = outcome
 
     def crash_daemons(self) -> None:
         """Stop and start one daemon after another, without warning."""
@@ -138,9 +138,9 @@
     for application in emulated.applications:
         executions.update(application.executions())
     doubled = [order for order, count in executions.items() if count > 1]
-    untrue = [order for order, told in run.told.items() if told == "not_run" and executions[order]]
+    untrue = [order for order, told in run.outcome_by_order.items() if told == "not_run" and executions[order]]
     lost = [
-        order for order, told in run.told.items() if told == "answered" and not executions[order]
+        order for order, told in run.outcome_by_order.items() if told == "answered" and not executions[order]
     ]
     total = sum(run.outcomes.values())
     print(f"commands {total}, daemon crashes {run.crashes}, outcomes {dict(run.outcomes)}")
@@ -151,7 +151,7 @@
         f"refused as not run {run.outcomes['not_run'] / total:.1%}, "
         f"unknown {run.outcomes['unknown'] / total:.1%}"
     )
-    ordered = sorted(run.claim_ms)
+    ordered = sorted(run.first_attempt_ms)
     if ordered:
         print(
             f"whole command, first try: p50 {ordered[len(ordered) // 2]:.1f} ms, "
--- a/benchmarks/crashing_requests.py
+++ b/benchmarks/crashing_requests.py
@@ -28,8 +28,8 @@
 DAEMONS = 7
 REPLICAS = 9
 #: Seconds that a replica is away after it has ended, and that datagrams take.
-AWAY_S = 4.0
-NEWS_S = 0.005
+RESTART_S = 4.0
+DATAGRAM_DELAY_S = 0.005
 #: Innocent requests a second, their mean run, and the families whose requests share a home.
 INNOCENT_PER_S = 74.0
 RUN_S = 0.3
@@ -40,9 +40,9 @@
 REPEAT_S = 1.0
 REPEATS = 20
 #: From the end of a replica to its being known, and a caller's pause before its second try.
-SETTLE_S = 0.035
+CRASH_DETECTION_S = 0.035
 SECOND_TRY_S = 0.2
-LOOK_AGAIN_S = 0.03
+POLL_INTERVAL_S = 0.03
 DEADLINE_S = 5.0
 
 
@@ -52,7 +52,7 @@
     digest: bytes
     fatal: bool
     family: int
-    tries: int = 0
+    attempts: int = 0
     was_held: bool = False
 
 
@@ -74,23 +74,23 @@
         self._now_s = 0.0
         self._numbers = itertools.count()
         self._due: list[tuple[float, int, Callable[[], None]]] = []
-        self.guards = [CrashTracker(f"n{number}", lambda: self._now_s) for number in range(DAEMONS)]
-        self._places = [self._start(number) for number in range(REPLICAS)]
+        self.trackers = [CrashTracker(f"n{number}", lambda: self._now_s) for number in range(DAEMONS)]
+        self._replicas = [self._start(number) for number in range(REPLICAS)]
         self._running: list[Run] = []
         #: Replicas ended by each fatal body, and what became of innocent requests.
-        self.ended: Counter[bytes] = Counter()
+        self.crashes: Counter[bytes] = Counter()
         self.innocent: Counter[str] = Counter()
         for number in range(DAEMONS):
             self._connect(number)
 
     def _connect(self, number: int) -> None:
-        guard = self.guards[number]
-        others = [other for other in self.guards if other is not guard]
+        guard = self.trackers[number]
+        others = [other for other in self.trackers if other is not guard]
         name = f"n{number}"
 
         def tell(act: Callable[[CrashTracker], None]) -> None:
             for other in others:
-                self._after(NEWS_S, functools.partial(act, other))
+                self._after(DATAGRAM_DELAY_S, functools.partial(act, other))
 
         def tell_run(digest: bytes, run: SuspectRun | None) -> None:
             tell(lambda other: other.handle_suspect_run(name, digest, run))
@@ -104,7 +104,7 @@
         listing = ReplicaListing(f"r{number}", "s", "a:1", "z", 8, True, started_at_ms=born_ms)
         return RelayReplica(listing, {}, listing.incarnation)
 
-    def play(self, seconds: float) -> None:
+    def simulate(self, seconds: float) -> None:
         """Send requests for a while and follow them to their ends."""
         self._send_innocent(seconds)
         for number in range(round(self._bodies_per_minute * seconds / 60.0)):
@@ -128,31 +128,31 @@
         heapq.heappush(self._due, (self._now_s + seconds, next(self._numbers), act))
 
     def _try(self, request: Request) -> None:
-        request.tries += 1
+        request.attempts += 1
         self._place(request, self._random.randrange(DAEMONS), self._now_s + DEADLINE_S)
 
     def _place(self, request: Request, daemon: int, deadline_s: float) -> None:
-        guard = self.guards[daemon]
+        guard = self.trackers[daemon]
         if self._guarded and guard.refusal(request.digest) is not None:
             self._count(request, "refused")
             return
         replica = self._choose(request, guard)
         if replica is None and self._now_s < deadline_s:
             request.was_held = True
-            self._after(LOOK_AGAIN_S, lambda: self._place(request, daemon, deadline_s))
+            self._after(POLL_INTERVAL_S, lambda: self._place(request, daemon, deadline_s))
         elif replica is None:
             self._count(request, "lost")
         else:
             self._run(Run(request, daemon, replica))
 
     def _choose(self, request: Request, guard: CrashTracker) -> RelayReplica | None:
-        left = [replica for replica in self._places if replica.accepting]
+        left = [replica for replica in self._replicas if replica.accepting]
         if self._guarded:
             if not guard.may_run(request.digest):
                 return None
             taken = guard.excluded_replicas(request.digest, left)
             left = [replica for replica in left if replica.replica_id not in taken]
-        home = self._places[request.family % REPLICAS]
+        home = self._replicas[request.family % REPLICAS]
         if home in left and self._random.random() < HOME_SHARE:
             return home
         return self._random.choice(left) if left else None
@@ -162,7 +162,7 @@
         run_s = FATAL_S if run.request.fatal else self._random.expovariate(1.0 / RUN_S)
         if self._guarded:
             ends_s = self._now_s + DEADLINE_S
-            self.guards[run.daemon].begin_run(run.request.digest, run.replica, ends_s)
+            self.trackers[run.daemon].begin_run(run.request.digest, run.replica, ends_s)
         end = self._end_replica if run.request.fatal else self._end_well
         self._after(run_s, lambda: end(run))
 
@@ -170,7 +170,7 @@
         if run not in self._running:
             return
         self._running.remove(run)
-        guard = self.guards[run.daemon]
+        guard = self.trackers[run.daemon]
         guard.end_run(run.request.digest)
         guard.record_success(run.request.digest)
         self._count(run.request, "served")
@@ -179,30 +179,30 @@
         if run not in self._running:
             return
         replica = run.replica
-        self.ended[run.request.digest] += 1
-        number = self._places.index(replica)
+        self.crashes[run.request.digest] += 1
+        number = self._replicas.index(replica)
         replica.listing = msgspec.structs.replace(replica.listing, accepting=False)
         broken = [other for other in self._running if other.replica is replica]
         for other in broken:
             self._break(other)
         for daemon in {other.daemon for other in broken}:
-            guard = self.guards[daemon]
+            guard = self.trackers[daemon]
             self._after(
-                SETTLE_S, functools.partial(guard.record_crash, replica, CrashEvidence.PORT_CLOSED)
+                CRASH_DETECTION_S, functools.partial(guard.record_crash, replica, CrashEvidence.PORT_CLOSED)
             )
-        self._after(AWAY_S, lambda: self._return(number))
+        self._after(RESTART_S, lambda: self._return(number))
 
     def _return(self, number: int) -> None:
-        self._places[number] = self._start(number)
+        self._replicas[number] = self._start(number)
 
     def _break(self, run: Run) -> None:
         self._running.remove(run)
-        guard = self.guards[run.daemon]
+        guard = self.trackers[run.daemon]
         guard.end_run(run.request.digest)
         guard.record_broken_run(run.replica, run.request.digest, silent=False)
         if run.request.fatal:
             return
-        if run.request.tries < 2:
+        if run.request.attempts < 2:
             self._after(SECOND_TRY_S, lambda: self._try(run.request))
         else:
             self._count(run.request, "lost")
@@ -214,10 +214,10 @@
         self.innocent["held"] += request.was_held and outcome == "served"
 
 
-def play(seed: int, bodies_per_minute: float, *, guarded: bool, seconds: float = 120.0) -> Fleet:
+def simulate(seed: int, bodies_per_minute: float, *, guarded: bool, seconds: float = 120.0) -> Fleet:
     """Return a fleet after some time of requests."""
     fleet = Fleet(seed, bodies_per_minute, guarded=guarded)
-    fleet.play(seconds)
+    fleet.simulate(seconds)
     return fleet
 
 
@@ -229,8 +229,8 @@
     print("bodies/min guard  most ended by one  innocent: lost    refused  held")
     for bodies in (1, 5, 50):
         for guarded in (False, True):
-            fleets = [play(seed, bodies, guarded=guarded) for seed in range(options.seeds)]
-            most = max((max(fleet.ended.values(), default=0) for fleet in fleets), default=0)
+            fleets = [simulate(seed, bodies, guarded=guarded) for seed in range(options.seeds)]
+            most = max((max(fleet.crashes.values(), default=0) for fleet in fleets), default=0)
             total = sum((fleet.innocent for fleet in fleets), Counter[str]())
             shares = [total[name] / total["sent"] for name in ("lost", "refused", "held")]
             figures = "  ".join(f"{share:8.5f}" for share in shares)
--- a/benchmarks/limit_sharing.py
+++ b/benchmarks/limit_sharing.py
@@ -88,11 +88,11 @@
     return Outcome(sent_s, 2 * len(asked))
 
 
-Way = Callable[[int, float, list[tuple[float, int]]], Outcome]
-WAYS: dict[str, Way] = {"buckets": buckets, "holders": holders, "grants": grants}
+Strategy = Callable[[int, float, list[tuple[float, int]]], Outcome]
+STRATEGIES: dict[str, Strategy] = {"buckets": buckets, "holders": holders, "grants": grants}
 
 
-def most_in_window(sent_s: list[float]) -> int:
+def max_in_window(sent_s: list[float]) -> int:
     """Return the most requests of any 4 s."""
     counts = [end + 1 - bisect.bisect_right(sent_s, at - WINDOW_S) for end, at in enumerate(sent_s)]
     return max(counts, default=0)
@@ -108,9 +108,9 @@
             asked = arrivals(daemons, demand_per_s, random.Random(arguments.seed))
             for per_s in LIMITS_PER_S:
                 told = []
-                for name, way in WAYS.items():
+                for name, way in STRATEGIES.items():
                     outcome = way(daemons, per_s, asked)
-                    most = most_in_window(outcome.sent_s)
+                    most = max_in_window(outcome.sent_s)
                     used = len(outcome.sent_s) / SECONDS / per_s
                     first_s = outcome.sent_s[0] if outcome.sent_s else SECONDS
                     cost = outcome.messages / SECONDS
--- a/benchmarks/replica_limits.py
+++ b/benchmarks/replica_limits.py
@@ -38,7 +38,7 @@
 START_S = 25.0
 
 
-class Play(msgspec.Struct, frozen=True):
+class Scenario(msgspec.Struct, frozen=True):
     """How many replicas name which limit, in requests a second."""
 
     replicas: int
@@ -47,21 +47,21 @@
     routers: int | None = None
 
 
-PLAYS = {
-    "one": Play(1, 3.0),
-    "two": Play(2, 1.0),
-    "all": Play(4, 8.0),
-    "scarce": Play(4, 3.0),
-    "restarted": Play(1, 0.5, restarts=True),
-    "zero": Play(1, 0.0),
-    "wide": Play(1, 1.0, routers=15),
+SCENARIOS = {
+    "one": Scenario(1, 3.0),
+    "two": Scenario(2, 1.0),
+    "all": Scenario(4, 8.0),
+    "scarce": Scenario(4, 3.0),
+    "restarted": Scenario(1, 0.5, restarts=True),
+    "zero": Scenario(1, 0.0),
+    "wide": Scenario(1, 1.0, routers=15),
 }
 
 
-class LimitPlay:
+class LimitScenarioRun:
     """One play with one seed."""
 
-    def __init__(self, play: Play, seed: int, routers: int) -> None:
+    def __init__(self, play: Scenario, seed: int, routers: int) -> None:
         self._play = play
         self._deployment = LoopbackDeployment(play.routers or routers)
         self._callers = StreamCallers(self._deployment, play.routers or routers, seed)
@@ -112,7 +112,7 @@
         share = f"used {used / places:.2f}" if places else f"sent {used} in 10 s"
         before = max(counts[second] for second in range(1, int(NAMED_FROM_S)))
         after = max(counts[second] for second in range(int(NAMED_UNTIL_S), int(SECONDS)))
-        fates = ", ".join(f"{fate} {count}" for fate, count in sorted(self._callers.fates.items()))
+        fates = ", ".join(f"{fate} {count}" for fate, count in sorted(self._callers.outcomes.items()))
         return f"{told}, {share}, most in a second {before} before, {after} after; {fates}"
 
     def _arrivals_by_second(self) -> Counter[int]:
@@ -129,11 +129,11 @@
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
     parser.add_argument("--seed", type=int, default=31)
     parser.add_argument("--routers", type=int, default=3)
-    parser.add_argument("--play", choices=list(PLAYS), action="append")
+    parser.add_argument("--play", choices=list(SCENARIOS), action="append")
     arguments = parser.parse_args()
     configure_logs("error")
-    for name in arguments.play or PLAYS:
-        line = asyncio.run(LimitPlay(PLAYS[name], arguments.seed, arguments.routers).run())
+    for name in arguments.play or SCENARIOS:
+        line = asyncio.run(LimitScenarioRun(SCENARIOS[name], arguments.seed, arguments.routers).run())
         print(f"{name} seed={arguments.seed}: {line}", flush=True)
 
 
--- a/benchmarks/replica_notices.py
+++ b/benchmarks/replica_notices.py
@@ -26,34 +26,34 @@
 from winchfork.logs import configure_logs
 
 SECONDS = 20.0
-WORD_FROM_S = 4.0
+NOTICE_FROM_S = 4.0
 STREAMS_PER_S = 25
 #: Routers that are not ready after this long never will be.
 START_S = 25.0
 
 
-class Play(msgspec.Struct, frozen=True):
+class Scenario(msgspec.Struct, frozen=True):
     """How many replicas say what, and for how long; ``rest_s`` None: that they leave."""
 
     replicas: int
-    rest_s: float | None
-    for_s: float = 12.0
+    backoff_s: float | None
+    duration_s: float = 12.0
 
 
-PLAYS = {
-    "leave": Play(1, None),
-    "rest": Play(1, 3.0),
-    "half": Play(2, 3.0),
-    "all": Play(4, 3.0),
-    "short": Play(4, 0.4),
-    "once": Play(4, 3.0, for_s=0.5),
+SCENARIOS = {
+    "leave": Scenario(1, None),
+    "rest": Scenario(1, 3.0),
+    "half": Scenario(2, 3.0),
+    "all": Scenario(4, 3.0),
+    "short": Scenario(4, 0.4),
+    "once": Scenario(4, 3.0, duration_s=0.5),
 }
 
 
-class NoticePlay:
+class NoticeScenarioRun:
     """One play with one seed."""
 
-    def __init__(self, play: Play, seed: int, routers: int) -> None:
+    def __init__(self, play: Scenario, seed: int, routers: int) -> None:
         self._play = play
         self._deployment = LoopbackDeployment(routers)
         self._callers = StreamCallers(self._deployment, routers, seed)
@@ -70,14 +70,14 @@
         return line
 
     async def _speak(self) -> None:
-        await asyncio.sleep(WORD_FROM_S)
+        await asyncio.sleep(NOTICE_FROM_S)
         models = self._deployment.models
         by_work = sorted(models, key=lambda model: len(model.notices.arrivals), reverse=True)
         self._struck = by_work[: self._play.replicas]
         for replica in self._struck:
-            replica.notices.leaving = self._play.rest_s is None
-            replica.notices.rest_s = self._play.rest_s
-        await asyncio.sleep(self._play.for_s)
+            replica.notices.leaving = self._play.backoff_s is None
+            replica.notices.rest_s = self._play.backoff_s
+        await asyncio.sleep(self._play.duration_s)
         for replica in self._struck:
             replica.notices.rest_s = None
 
@@ -89,7 +89,7 @@
         for item in self._struck:
             rests.update(reached_in_rest(item.notices, self._callers.senders))
         away = sum(len(item.notices.backoffs) for item in self._struck)
-        fates = ", ".join(f"{fate} {count}" for fate, count in sorted(self._callers.fates.items()))
+        fates = ", ".join(f"{fate} {count}" for fate, count in sorted(self._callers.outcomes.items()))
         worst = max(rests.values(), default=0)
         return f"sent to a leaving one {late}, turned away {away}, worst in a rest {worst}; {fates}"
 
@@ -99,11 +99,11 @@
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
     parser.add_argument("--seed", type=int, default=21)
     parser.add_argument("--routers", type=int, default=3)
-    parser.add_argument("--play", choices=list(PLAYS), action="append")
+    parser.add_argument("--play", choices=list(SCENARIOS), action="append")
     arguments = parser.parse_args()
     configure_logs("error")
-    for name in arguments.play or PLAYS:
-        line = asyncio.run(NoticePlay(PLAYS[name], arguments.seed, arguments.routers).run())
+    for name in arguments.play or SCENARIOS:
+        line = asyncio.run(NoticeScenarioRun(SCENARIOS[name], arguments.seed, arguments.routers).run())
         print(f"{name} seed={arguments.seed} routers={arguments.routers}: {line}", flush=True)
 
 
--- a/benchmarks/store_copies.py
+++ b/benchmarks/store_copies.py
@@ -30,18 +30,18 @@
 SECONDS = 22.0
 STREAMS_PER_S = 32.0
 COPIED_S = 1.0
-AWAY_FROM_S = 5.0
-AWAY_S = 1.0
+OUTAGE_FROM_S = 5.0
+OUTAGE_S = 1.0
 #: Changes of no meaning, before the store goes away or after its return.
 CHANGES = 150
 DRAIN_S = 3.0
 #: Routers that are not ready after this long never will be.
 START_S = 25.0
-LOOK_S = 0.02
+POLL_INTERVAL_S = 0.02
 EARLIER_KEY, NEW_KEY = "earlier-key", "new-key"
 
 
-class Play(msgspec.Struct, frozen=True):
+class Scenario(msgspec.Struct, frozen=True):
     """What happens beside the return."""
 
     returns: int = 1
@@ -51,20 +51,20 @@
     changes_leader: bool = False
 
 
-PLAYS = {
-    "control": Play(returns=0, changes_before=0),
-    "below": Play(),
-    "rewritten": Play(rewrites=True),
-    "leader": Play(changes_leader=True),
-    "twice": Play(returns=2),
-    "passed": Play(changes_before=3, changes_after=CHANGES),
+SCENARIOS = {
+    "control": Scenario(returns=0, changes_before=0),
+    "below": Scenario(),
+    "rewritten": Scenario(rewrites=True),
+    "leader": Scenario(changes_leader=True),
+    "twice": Scenario(returns=2),
+    "passed": Scenario(changes_before=3, changes_after=CHANGES),
 }
 
 
-class CopyPlay:
+class CopyScenarioRun:
     """One play with one seed."""
 
-    def __init__(self, play: Play, seed: int, routers: int) -> None:
+    def __init__(self, play: Scenario, seed: int, routers: int) -> None:
         self._play = play
         self._deployment = LoopbackDeployment(routers)
         self._callers = StreamCallers(self._deployment, routers, seed)
@@ -80,7 +80,7 @@
         await asyncio.wait_for(self._deployment.wait_until_ready(), START_S)
         self._deployment.allow_repeats()
         while not self._leads():
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         watching = asyncio.create_task(self._watch_leader())
         await asyncio.gather(self._callers.send(STREAMS_PER_S, SECONDS), self._drill())
         watching.cancel()
@@ -97,7 +97,7 @@
         while True:
             led_s = loop.time() if self._leads() else led_s
             self._without_leader_s = max(self._without_leader_s, loop.time() - led_s)
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _drill(self) -> None:
         store, play = self._deployment.store, self._play
@@ -105,7 +105,7 @@
         copy = store.copy()
         if play.changes_leader:
             self._deployment.lose_leader()
-        await asyncio.sleep(AWAY_FROM_S - COPIED_S)
+        await asyncio.sleep(OUTAGE_FROM_S - COPIED_S)
         self._write(play.changes_before)
         if play.rewrites:
             self._deployment.add_key(EARLIER_KEY)
@@ -113,7 +113,7 @@
                 replica.announce("ready")
         await asyncio.sleep(0.3)
         store.down = True
-        await asyncio.sleep(AWAY_S)
+        await asyncio.sleep(OUTAGE_S)
         self._without_leader_s = 0.0
         for number in range(play.returns):
             store.come_back_from(copy)
@@ -151,7 +151,7 @@
                 if table is not None and table.tenant_of(NEW_KEY) is not None:
                     waiting.remove(router)
                     self._key_s.append(loop.time() - added_s)
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def _line(self) -> str:
         assert self._leaving is not None
@@ -165,7 +165,7 @@
         ]
         last = f" (last {max(self._key_s):.2f} s)" if self._key_s else ""
         key = f"key taken by {len(self._key_s)} of {len(self._deployment.routers)}{last}"
-        fates = ", ".join(f"{fate} {count}" for fate, count in sorted(self._callers.fates.items()))
+        fates = ", ".join(f"{fate} {count}" for fate, count in sorted(self._callers.outcomes.items()))
         return (
             f"{key}, sent late {len(late)}, on old weights {len(old)}, without a leader "
             f"{self._without_leader_s:.1f} s; {fates}"
@@ -177,11 +177,11 @@
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
     parser.add_argument("--seed", type=int, default=41)
     parser.add_argument("--routers", type=int, default=3)
-    parser.add_argument("--play", choices=list(PLAYS), action="append")
+    parser.add_argument("--play", choices=list(SCENARIOS), action="append")
     arguments = parser.parse_args()
     configure_logs("error")
-    for name in arguments.play or PLAYS:
-        line = asyncio.run(CopyPlay(PLAYS[name], arguments.seed, arguments.routers).run())
+    for name in arguments.play or SCENARIOS:
+        line = asyncio.run(CopyScenarioRun(SCENARIOS[name], arguments.seed, arguments.routers).run())
         print(f"{name} routers={arguments.routers} seed={arguments.seed}: {line}", flush=True)
 
 
--- a/benchmarks/stream_callers.py
+++ b/benchmarks/stream_callers.py
@@ -14,7 +14,7 @@
 FAMILIES = 23
 DEADLINE_S = 5.0
 #: A caller heeds a wait of up to this part of the time that it has left.
-HEEDED_SHARE = 1.0 / 3.0
+MAX_RETRY_WAIT_SHARE = 1.0 / 3.0
 #: An answer within this time of its first try is in time.
 OBJECTIVE_S = 0.6
 
@@ -23,7 +23,7 @@
     """What a caller saw of one try."""
 
     status: int
-    whole: bool
+    complete: bool
     retry_after_s: float | None
 
 
@@ -35,7 +35,7 @@
         self._routers = routers
         self._random = random.Random(seed)
         self.senders: dict[str, Sender] = {}
-        self.fates: Counter[str] = Counter()
+        self.outcomes: Counter[str] = Counter()
 
     async def send(self, streams_per_s: float, seconds: float, key: str = KEY) -> None:
         """Send for some time, and return when the last answer has come."""
@@ -55,16 +55,16 @@
         wait_s = reply.retry_after_s
         kind = "" if key == KEY else "urgent "
         if reply.status in (429, 503) and wait_s is not None:
-            self.fates[f"{kind}turned away once"] += 1
-            await asyncio.sleep(min(wait_s, left_s * HEEDED_SHARE))
+            self.outcomes[f"{kind}turned away once"] += 1
+            await asyncio.sleep(min(wait_s, left_s * MAX_RETRY_WAIT_SHARE))
             left_s = begun_s + DEADLINE_S - loop.time()
             reply = await self._try((router + 1) % self._routers, family, key, left_s)
-        if reply.status == 200 and reply.whole:
+        if reply.status == 200 and reply.complete:
             in_time = loop.time() - begun_s <= OBJECTIVE_S
-            self.fates[f"{kind}{'in time' if in_time else 'late'}"] += 1
+            self.outcomes[f"{kind}{'in time' if in_time else 'late'}"] += 1
         else:
             torn = " torn" if reply.status == 200 else ""
-            self.fates[f"{kind}lost {reply.status}{torn}"] += 1
+            self.outcomes[f"{kind}lost {reply.status}{torn}"] += 1
 
     async def _try(self, router: int, family: int, key: str, left_s: float) -> Reply:
         number = len(self.senders)
--- a/benchmarks/what_binds.py
+++ b/benchmarks/what_binds.py
@@ -30,8 +30,8 @@
 _LATE_S = 0.5
 #: Seconds of queue or of own reading that explain a late first event.
 _QUEUE_S = 0.3
-_OWN_READING_S = 0.25
-_READ_TOKENS_PER_S = 40_000.0
+_OWN_PREFILL_S = 0.25
+_PREFILL_TOKENS_PER_S = 40_000.0
 _PAIR = re.compile(r'(\w+)=("[^"]*"|\S+)')
 
 
@@ -92,10 +92,10 @@
         return ""
     if float(done["first_event_s"]) <= _LATE_S:
         return "long gap" if float(done.get("longest_gap_s", 0.0)) > _LATE_S else ""
-    reading_s = int(sent["unread"]) / _READ_TOKENS_PER_S
+    reading_s = int(sent["unread"]) / _PREFILL_TOKENS_PER_S
     if float(sent["cost_s"]) - reading_s > _QUEUE_S:
         return "queue, foreseen"
-    return "own prompt" if reading_s > _OWN_READING_S else "not foreseen"
+    return "own prompt" if reading_s > _OWN_PREFILL_S else "not foreseen"
 
 
 def mean_and_half_width(values: list[float]) -> tuple[float, float]:
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from benchmarks.crashing_requests import play
+from benchmarks.crashing_requests import simulate
 from winchfork.core.broken_runs import BrokenRuns, CrashEvidence
 from winchfork.core.crash_history import (
     CRASHES_TO_REFUSE,
@@ -129,12 +129,12 @@
     def test_what_the_others_lose_beside_requests_that_end_replicas(self) -> None:
         """Nobody innocent is refused, and five such bodies a minute cost less than one in 500."""
         for seed in (1, 2):
-            fleet = play(seed, bodies_per_minute=5, guarded=True, seconds=60.0)
-            self.assertLessEqual(max(fleet.ended.values()), CRASHES_TO_REFUSE)
+            fleet = simulate(seed, bodies_per_minute=5, guarded=True, seconds=60.0)
+            self.assertLessEqual(max(fleet.crashes.values()), CRASHES_TO_REFUSE)
             self.assertEqual(fleet.innocent["refused"], 0)
             self.assertLess(fleet.innocent["lost"], fleet.innocent["sent"] / 500)
 
     def test_so_many_bodies_that_replicas_are_hardly_up_get_nobody_else_refused(self) -> None:
-        fleet = play(3, bodies_per_minute=50, guarded=True, seconds=30.0)
-        self.assertLessEqual(max(fleet.ended.values()), CRASHES_TO_REFUSE)
+        fleet = simulate(3, bodies_per_minute=50, guarded=True, seconds=30.0)
+        self.assertLessEqual(max(fleet.crashes.values()), CRASHES_TO_REFUSE)
         self.assertEqual(fleet.innocent["refused"], 0)
--- a/tests/test_log_plot.py
+++ b/tests/test_log_plot.py
@@ -12,9 +12,9 @@
 from winchfork.cli.day_figures import (
     DayFigures,
     Mark,
-    StoreSilence,
+    StoreUnreachablePeriod,
     figures_of_day,
-    group_of,
+    outcome_group,
 )
 from winchfork.cli.log_reading import read_events
 from winchfork.cli.main import main
@@ -63,7 +63,7 @@
             "deadline_exceeded": "failed",
             "caller_left": "left by callers",
         }
-        self.assertEqual({name: group_of(name) for name in expected}, expected)
+        self.assertEqual({name: outcome_group(name) for name in expected}, expected)
 
     def test_first_events_by_share(self) -> None:
         figures = day()
@@ -75,9 +75,9 @@
         self.assertEqual(day().marks, (Mark(1, "weights_named", "2"),))
 
     def test_the_store_is_missed_by_each_daemon_for_its_own_time(self) -> None:
-        first, second = day().silences
+        first, second = day().store_unreachable
         self.assertEqual((first.source, round(first.until_s or 0.0, 3)), ("one", 2.6))
-        self.assertEqual(second, StoreSilence("two", second.from_s, None))
+        self.assertEqual(second, StoreUnreachablePeriod("two", second.from_s, None))
 
     def test_no_lines_are_no_day(self) -> None:
         self.assertIsNone(figures_of_day([]))
--- a/winchfork/cli/day_figures.py
+++ b/winchfork/cli/day_figures.py
@@ -48,7 +48,7 @@
     subject: str
 
 
-class StoreSilence(msgspec.Struct, frozen=True):
+class StoreUnreachablePeriod(msgspec.Struct, frozen=True):
     """Seconds in which one daemon did not reach the store; the end is None if no line tells it."""
 
     source: str
@@ -65,20 +65,20 @@
     first_event_s: dict[int, list[float]]
     sent: dict[str, Counter[int]]
     marks: tuple[Mark, ...]
-    silences: tuple[StoreSilence, ...]
+    store_unreachable: tuple[StoreUnreachablePeriod, ...]
 
     def first_event_at(self, second: int, share: float) -> float | None:
         """Return the time to the first event that a share of a second's streams stayed within."""
         waits_s = sorted(self.first_event_s.get(second, ()))
         return waits_s[min(len(waits_s) - 1, int(share * len(waits_s)))] if waits_s else None
 
-    def busiest(self, most: int) -> list[str]:
+    def busiest(self, count: int) -> list[str]:
         """Return the replicas that were sent most, the busiest first."""
         totals = {replica: counts.total() for replica, counts in self.sent.items()}
-        return sorted(totals, key=lambda replica: (-totals[replica], replica))[:most]
+        return sorted(totals, key=lambda replica: (-totals[replica], replica))[:count]
 
 
-def group_of(outcome: str) -> str:
+def outcome_group(outcome: str) -> str:
     """Return what an outcome is drawn as."""
     found = (group for start, group in _GROUPS.items() if outcome.startswith(start))
     return next(found, FAILED)
@@ -98,7 +98,7 @@
         second = int(event.at_s - began_s)
         if event.name in ("request_done", "request_refused"):
             outcome = event.field("outcome") or event.field("code")
-            outcomes[group_of(outcome)][second] += 1
+            outcomes[outcome_group(outcome)][second] += 1
             if event.field("first_event_s"):
                 first_event_s[second].append(float(event.field("first_event_s")))
         elif event.name == "request_sent":
@@ -116,7 +116,7 @@
     )
 
 
-def _silences(events: Sequence[LoggedEvent], began_s: float) -> list[StoreSilence]:
+def _silences(events: Sequence[LoggedEvent], began_s: float) -> list[StoreUnreachablePeriod]:
     lost_s: dict[str, float] = {}
     found = []
     for event in events:
@@ -124,5 +124,5 @@
         if event.name == "store_lost":
             lost_s.setdefault(event.source, at_s)
         elif event.name == "store_regained" and event.source in lost_s:
-            found.append(StoreSilence(event.source, lost_s.pop(event.source), at_s))
-    return found + [StoreSilence(source, from_s, None) for source, from_s in lost_s.items()]
+            found.append(StoreUnreachablePeriod(event.source, lost_s.pop(event.source), at_s))
+    return found + [StoreUnreachablePeriod(source, from_s, None) for source, from_s in lost_s.items()]
--- a/winchfork/cli/day_plot.py
+++ b/winchfork/cli/day_plot.py
@@ -9,7 +9,7 @@
 _COLORS = {"served": "tab:green", "refused": "tab:orange", "failed": "tab:red"}
 _OTHER_COLOR = "tab:gray"
 #: Replicas that are drawn by name; the others are added up.
-MOST_REPLICAS = 8
+MAX_NAMED_REPLICAS = 8
 _PANEL_INCHES = 2.4
 _WIDTH_INCHES = 13.0
 _DOTS_PER_INCH = 90
@@ -62,7 +62,7 @@
 
 
 def _draw_replicas(panel: Any, day: DayFigures) -> None:
-    named = day.busiest(MOST_REPLICAS)
+    named = day.busiest(MAX_NAMED_REPLICAS)
     seconds = range(day.seconds)
     for replica in named:
         panel.plot(seconds, [day.sent[replica][second] for second in seconds], label=replica)
@@ -76,7 +76,7 @@
 
 def _draw_marks(panel: Any, day: DayFigures, events: list[str]) -> None:
     """Draw a row for each kind of event, and one for times without the store."""
-    for silence in day.silences:
+    for silence in day.store_unreachable:
         until_s = day.seconds if silence.until_s is None else silence.until_s
         panel.barh(0, until_s - silence.from_s, 0.8, silence.from_s, color="tab:red", alpha=0.3)
     for row, event in enumerate(events, start=1):
--- a/winchfork/cli/experiment_commands.py
+++ b/winchfork/cli/experiment_commands.py
@@ -11,7 +11,7 @@
 from winchfork.cli.output import EXIT_OK, EXIT_USAGE, print_failure, print_table
 from winchfork.core.policies.registry import DEFAULT_POLICY
 from winchfork.emulator.capacity import CAPACITY_SIZES, measure_capacity, render_capacity
-from winchfork.emulator.comparison import plot, summarize, table_rows, verdicts
+from winchfork.emulator.comparison import plot, summarize, table_rows, compare_with_baselines
 from winchfork.emulator.experiment import (
     FAULTS,
     ExperimentOptions,
@@ -139,7 +139,7 @@
     headings, rows = table_rows(summary)
     print_table(headings, rows)
     print()
-    for line in verdicts(summary, DEFAULT_POLICY):
+    for line in compare_with_baselines(summary, DEFAULT_POLICY):
         print(line)
     if arguments.plot:
         title = f"{arguments.profile}, {arguments.seeds} seeds, {' '.join(arguments.fault)}"
--- a/winchfork/cli/log_explanation.py
+++ b/winchfork/cli/log_explanation.py
@@ -70,12 +70,12 @@
     own = [event for event in known if event.field("id") == request_id]
     if not own:
         return None
-    around = _Surroundings(own)
-    told = [event for event in known if around.hold(event)]
+    around = _RelatedEvents(own)
+    told = [event for event in known if around.includes(event)]
     return RequestExplanation(request_id, tuple(told), _meaning(own))
 
 
-class _Surroundings:
+class _RelatedEvents:
     """What may have decided about a request: its own events, and others of its daemon."""
 
     def __init__(self, own: Sequence[LoggedEvent]) -> None:
@@ -85,7 +85,7 @@
         self._until_s = own[-1].at_s + AFTER_S
         self._replicas = {event.field("replica") for event in own} - {""}
 
-    def hold(self, event: LoggedEvent) -> bool:
+    def includes(self, event: LoggedEvent) -> bool:
         """Whether an event is among them."""
         if event.field("id"):
             return event.field("id") == self._request_id
--- a/winchfork/emulator/comparison.py
+++ b/winchfork/emulator/comparison.py
@@ -75,7 +75,7 @@
     return ["policy", *names], rows
 
 
-def verdicts(summary: dict[str, dict[str, Estimate]], product: str) -> list[str]:
+def compare_with_baselines(summary: dict[str, dict[str, Estimate]], product: str) -> list[str]:
     """Say how the product's policy stands against the oracle and the best baseline."""
     if product not in summary:
         return []
--- a/winchfork/emulator/engine_server.py
+++ b/winchfork/emulator/engine_server.py
@@ -194,7 +194,7 @@
                 sequence.sequence_id, body["prompt"], sequence.generated, sequence.output_tokens
             )
             self._streams[sequence.sequence_id] = stream
-            self._note_execution(body["prompt"])
+            self._record_execution(body["prompt"])
         self._import_blocks(body.get("import") or {}, sequence)
         return self._stream_answer(stream, sequence.generated, sequence)
 
@@ -291,7 +291,7 @@
         body = {"id": attempt_id, "engine": engine}
         return f"data: {json.dumps(body)}\n\n".encode()
 
-    def _note_execution(self, prompt: str) -> None:
+    def _record_execution(self, prompt: str) -> None:
         digest = answer_digest(prompt)
         self._executions[digest] = self._executions.get(digest, 0) + 1
         while len(self._executions) > _EXECUTIONS_KEPT:
--- a/winchfork/emulator/experiment.py
+++ b/winchfork/emulator/experiment.py
@@ -66,7 +66,7 @@
 def _herd_restart(fleet: SimFleet) -> Any:
     """Every daemon forgets beliefs and loads at once."""
     for daemon in fleet.daemons:
-        daemon.forget(list(fleet.engines.values()))
+        daemon.reset(list(fleet.engines.values()))
     yield fleet.env.timeout(0)
 
 
@@ -164,7 +164,7 @@
     zones = deployment.zones
     return [
         SimEngine(
-            env, f"engine-{number}", zones[number % len(zones)], settings, metrics.note_stored
+            env, f"engine-{number}", zones[number % len(zones)], settings, metrics.record_stored
         )
         for number in range(deployment.engine_replicas)
     ]
--- a/winchfork/emulator/hollow.py
+++ b/winchfork/emulator/hollow.py
@@ -195,7 +195,7 @@
             )
             return [_outgoing(sender, part)]
         if isinstance(message, DocumentPart):
-            return self._take_part(daemon, message, sender)
+            return self._handle_part(daemon, message, sender)
         outgoing = daemon.membership.receive(message, self.now_s)
         if not isinstance(message, IndirectProbe):
             daemon.loads.unpack(message.loads)
@@ -210,7 +210,7 @@
             for name, revision in daemon.documents.outdated(revisions)
         ]
 
-    def _take_part(
+    def _handle_part(
         self, daemon: HollowDaemon, message: DocumentPart, sender: str
     ) -> list[Outgoing]:
         name = DocumentName(message.name)
--- a/winchfork/emulator/load.py
+++ b/winchfork/emulator/load.py
@@ -27,8 +27,8 @@
 _CALLERS = 400
 _REQUEST_TIMEOUT_S = 120.0
 _COMMAND_TIMEOUT_S = 15.0
-_COMMAND_TRIES = 4
-_TRY_PAUSE_S = 0.3
+_COMMAND_ATTEMPTS = 4
+_RETRY_DELAY_S = 0.3
 _MAX_US = 600_000_000
 
 
@@ -63,19 +63,19 @@
         """Whether no answer was lost, doubled, crossed or truncated."""
         return not any(self.outcomes[name] for name in ("lost", "doubled", "crossed", "truncated"))
 
-    def note_start(self) -> None:
+    def record_start(self) -> None:
         """Count a request sent."""
         with self._lock:
             self.started += 1
 
-    def note_outcome(self, outcome: str, refusal: str = "") -> None:
+    def record_outcome(self, outcome: str, refusal: str = "") -> None:
         """Count how a request ended."""
         with self._lock:
             self.outcomes[outcome] += 1
             if refusal:
                 self.refusals[refusal] += 1
 
-    def note_timing(
+    def record_timing(
         self, traffic_class: str, first_token_s: float, gaps_s: list[float], usage: dict[str, Any]
     ) -> None:
         """Record a complete answer's times and token counts."""
@@ -172,14 +172,14 @@
 
     def send(self, item: WorkItem) -> None:
         """Send one item; nothing escapes, so that every item is counted."""
-        self._report.note_start()
+        self._report.record_start()
         try:
             if item.is_command:
                 self._command(item)
             else:
                 self._completion(item)
         except Exception as error:  # noqa: BLE001 - counted, and the run goes on
-            self._report.note_outcome("lost", f"caller:{type(error).__name__}")
+            self._report.record_outcome("lost", f"caller:{type(error).__name__}")
 
     def _headers(self, item: WorkItem) -> dict[str, str]:
         key = self._options.deployment.api_key(item.tenant)
@@ -218,38 +218,38 @@
             )
             if unreachable or stream.refusal == FailureKind.STOPPING.value:
                 continue
-            self._judge(item, prompt, stream, sent_s)
+            self._evaluate(item, prompt, stream, sent_s)
             return
-        self._report.note_outcome("refused", "unreachable")
+        self._report.record_outcome("refused", "unreachable")
 
-    def _judge(self, item: WorkItem, prompt: str, stream: _CheckedStream, sent_s: float) -> None:
+    def _evaluate(self, item: WorkItem, prompt: str, stream: _CheckedStream, sent_s: float) -> None:
         if stream.refusal:
-            self._report.note_outcome("refused", stream.refusal)
+            self._report.record_outcome("refused", stream.refusal)
             return
         expected = answer_text(prompt, item.output_tokens)
         text = "".join(stream.parts)
         if stream.done and text == expected:
-            self._report.note_outcome("whole")
+            self._report.record_outcome("whole")
             times = stream.times
             gaps = [after - before for before, after in zip(times, times[1:], strict=False)]
-            self._report.note_timing(item.traffic_class, times[0] - sent_s, gaps, stream.usage)
+            self._report.record_timing(item.traffic_class, times[0] - sent_s, gaps, stream.usage)
         elif text and answer_digest(prompt) not in text[:9]:
-            self._report.note_outcome("crossed")
+            self._report.record_outcome("crossed")
         elif len(text) > len(expected) or (stream.done and text != expected[: len(text)]):
-            self._report.note_outcome("doubled")
+            self._report.record_outcome("doubled")
         elif stream.done:
-            self._report.note_outcome("truncated")
+            self._report.record_outcome("truncated")
         elif stream.error:
-            self._report.note_outcome("broken", stream.error)
+            self._report.record_outcome("broken", stream.error)
         else:
-            self._report.note_outcome("lost")
+            self._report.record_outcome("lost")
 
     def _command(self, item: WorkItem) -> None:
         """Send a command that must not be repeated; retry with the same key, elsewhere."""
         key = new_command_key()
         order = item.segments[0].identity
         outcome = "unknown"
-        for attempt in range(_COMMAND_TRIES):
+        for attempt in range(_COMMAND_ATTEMPTS):
             headers = {
                 **self._headers(item),
                 "Idempotency-Key": key,
@@ -266,19 +266,19 @@
                 )
             )
             if isinstance(answer, Failure):
-                time.sleep(_TRY_PAUSE_S)
+                time.sleep(_RETRY_DELAY_S)
                 continue
             if answer.status == 200:
                 executed = json.loads(answer.body).get("executed")
-                self._report.note_outcome("whole" if executed == order else "crossed")
+                self._report.record_outcome("whole" if executed == order else "crossed")
                 return
             error = json.loads(answer.body)["error"]
             outcome = error["ran"]
             if outcome == "not_run":
-                self._report.note_outcome("refused", error["code"])
+                self._report.record_outcome("refused", error["code"])
                 return
-            time.sleep(_TRY_PAUSE_S)
-        self._report.note_outcome("command_" + outcome)
+            time.sleep(_RETRY_DELAY_S)
+        self._report.record_outcome("command_" + outcome)
 
 
 def new_command_key() -> str:
--- a/winchfork/emulator/sim_engine.py
+++ b/winchfork/emulator/sim_engine.py
@@ -55,7 +55,7 @@
         self._env = env
         self._streams: dict[str, _Running] = {}
         self._wake = env.event()
-        self._generation = 0
+        self._reset_count = 0
         self._link_free_s = 0.0
         env.process(self._run())
 
@@ -95,9 +95,9 @@
             seconds = missing * BLOCK_TOKENS / settings.import_tokens_per_s
             seconds += settings.import_setup_s
             self._link_free_s = max(self._link_free_s, self._env.now) + seconds
-            generation = self._generation
+            generation = self._reset_count
             yield self._env.timeout(self._link_free_s - self._env.now)
-            if generation != self._generation:
+            if generation != self._reset_count:
                 return
             self.model.import_blocks(keys[:held], self._env.now)
         if sequence.sequence_id in self._streams:
@@ -110,13 +110,13 @@
 
     def crash(self) -> None:
         """Come back empty; every stream breaks."""
-        self._generation += 1
+        self._reset_count += 1
         self.model.crash()
         self._break_all()
 
     def load_weights(self, version: int) -> None:
         """Switch weights; every stream breaks."""
-        self._generation += 1
+        self._reset_count += 1
         self.model.load_weights(version, self._env.now)
         self._break_all()
 
@@ -132,9 +132,9 @@
                 self._wake = self._env.event()
                 yield self._wake
                 continue
-            generation = self._generation
+            generation = self._reset_count
             yield self._env.timeout(plan.duration_s)
-            if generation != self._generation:
+            if generation != self._reset_count:
                 continue
             for output in self.model.finish_step(plan, self._env.now):
                 running = self._streams.get(output.sequence.sequence_id)
--- a/winchfork/emulator/sim_fleet.py
+++ b/winchfork/emulator/sim_fleet.py
@@ -60,13 +60,13 @@
         self.policy = policy
         self.admission = AdmissionQueue(_LIMITS)
         self.retry_budget = RetryBudget()
-        self.turns: dict[str, Any] = {}
-        self.generation = 0
-        self.forget(engines)
+        self.admission_events: dict[str, Any] = {}
+        self.reset_count = 0
+        self.reset(engines)
 
-    def forget(self, engines: Sequence[SimEngine]) -> None:
+    def reset(self, engines: Sequence[SimEngine]) -> None:
         """Lose everything that a restart loses."""
-        self.generation += 1
+        self.reset_count += 1
         self.index = CacheIndex()
         self.fleet = Fleet()
         for engine in engines:
@@ -129,7 +129,7 @@
         reader_id = rendezvous_owner(engine.replica_id, self._by_id)
         assert reader_id is not None
         reader = self._by_id[reader_id]
-        incarnation, position, generation = 0, 0, reader.generation
+        incarnation, position, generation = 0, 0, reader.reset_count
         families = FamilyMap()
         yield self.env.timeout(self._random.random() * EVENT_POLL_PERIOD_S)
         while True:
@@ -143,9 +143,9 @@
                 families = FamilyMap()
                 for daemon in self.daemons:
                     self._note_identity(daemon, engine)
-            if reader.generation != generation:
+            if reader.reset_count != generation:
                 # As at a real reader's first contact: a snapshot replaces what it lost.
-                generation = reader.generation
+                generation = reader.reset_count
                 families = self._resync(reader, engine)
                 position = engine.model.next_sequence - 1
                 continue
@@ -245,14 +245,14 @@
             self.metrics.refused[verdict.kind.value] += 1
             return
         if verdict is AdmissionOutcome.QUEUED:
-            turn = daemon.turns[request_id] = self.env.event()
+            turn = daemon.admission_events[request_id] = self.env.event()
             yield turn
         admitted_s = self.env.now
         yield from self._attempts_until_done(item, daemon, traffic_class, arrived_s)
         for admitted in daemon.admission.release(
             request_id, self.env.now, self.env.now - admitted_s
         ):
-            daemon.turns.pop(admitted.request_id).succeed()
+            daemon.admission_events.pop(admitted.request_id).succeed()
 
     def _attempts_until_done(
         self, item: WorkItem, daemon: SimDaemon, traffic_class: TrafficClass, arrived_s: float
@@ -372,7 +372,7 @@
         replica = next(item for item in replicas if item.replica_id == decision.replica_id)
         assert replica.identity is not None
         if not self._omniscient:
-            self._note_dispatch(daemon, replica, prefix)
+            self._assume_cached(daemon, replica, prefix)
         return decision, replica, replica.identity, prefix
 
     def _candidates(self, item: WorkItem, daemon: SimDaemon, excluded: set[str]) -> Any:
@@ -399,7 +399,7 @@
         above, keys = keys_from_family(prefix)
         return add_blocks_above(owner.index.match(keys), above)
 
-    def _note_dispatch(self, daemon: SimDaemon, replica: Replica, prefix: PromptPrefix) -> None:
+    def _assume_cached(self, daemon: SimDaemon, replica: Replica, prefix: PromptPrefix) -> None:
         _, keys = keys_from_family(prefix)
         if not keys or replica.identity is None:
             return
--- a/winchfork/emulator/sim_metrics.py
+++ b/winchfork/emulator/sim_metrics.py
@@ -43,7 +43,7 @@
         self.counting_blocks = False
         self._ever_stored: set[BlockKey] = set()
 
-    def note_stored(self, keys: tuple[BlockKey, ...]) -> None:
+    def record_stored(self, keys: tuple[BlockKey, ...]) -> None:
         """Count computed blocks, and those that the fleet had computed before."""
         for key in keys:
             known = key in self._ever_stored
--- a/winchfork/emulator/target.py
+++ b/winchfork/emulator/target.py
@@ -111,7 +111,7 @@
     )
     engines = [
         SimEngine(
-            env, f"engine-{number}", zones[number % len(zones)], settings, metrics.note_stored
+            env, f"engine-{number}", zones[number % len(zones)], settings, metrics.record_stored
         )
         for number in range(replicas)
     ]
