--- a/benchmarks/replica_limits.py
+++ b/benchmarks/replica_limits.py
@@ -21,8 +21,8 @@
 import msgspec
 
 from benchmarks.stream_callers import StreamCallers
-from standins.fleet import URGENT_KEY, LoopbackDeployment
-from standins.limit_promises import worst_window
+from standins.deployment import URGENT_API_KEY, LoopbackDeployment
+from standins.limit_checks import worst_window
 from standins.replica_server import ReplicaServer
 from winchfork.logs import configure_logs
 
@@ -72,11 +72,11 @@
         """Play and return a line of figures."""
         await self._deployment.start()
         await asyncio.wait_for(self._deployment.wait_until_ready(), START_S)
-        self._deployment.allow_repeats()
+        self._deployment.allow_retries()
         self._begun_s = asyncio.get_running_loop().time()
         await asyncio.gather(
             self._callers.send(STREAMS_PER_S, SECONDS),
-            self._callers.send(URGENT_PER_S, SECONDS, URGENT_KEY),
+            self._callers.send(URGENT_PER_S, SECONDS, URGENT_API_KEY),
             self._name_limits(),
         )
         line = self._line()
@@ -85,26 +85,26 @@
 
     async def _name_limits(self) -> None:
         await asyncio.sleep(NAMED_FROM_S)
-        models = self._deployment.models
+        models = self._deployment.model_replicas
         by_work = sorted(models, key=lambda model: len(model.notices.arrivals), reverse=True)
         self._struck = by_work[: self._play.replicas]
         for replica in self._struck:
-            replica.notices.name_limit(self._play.per_s)
+            replica.notices.set_limit(self._play.per_s)
         if self._play.restarts:
             await asyncio.sleep(RESTART_S - NAMED_FROM_S)
             for replica in self._struck:
                 await replica.crash()
                 await replica.restart(keeps_id=True)
-                replica.notices.name_limit(self._play.per_s)
+                replica.notices.set_limit(self._play.per_s)
         await asyncio.sleep(NAMED_UNTIL_S - (RESTART_S if self._play.restarts else NAMED_FROM_S))
         for replica in self._struck:
-            replica.notices.name_limit(None)
+            replica.notices.set_limit(None)
 
     def _line(self) -> str:
         senders = self._callers.senders
-        spoken = [notices for replica in self._struck for notices in replica.spoken]
+        spoken = [notices for replica in self._struck for notices in replica.notices_by_incarnation]
         windows = [worst_window(notices, senders) for notices in spoken]
-        worst = max((item for item in windows if item), key=lambda item: item.over, default=None)
+        worst = max((item for item in windows if item), key=lambda item: item.excess, default=None)
         told = f"worst 4 s {worst.requests} of {worst.allowed:g}" if worst else "no limit heard"
         counts = self._arrivals_by_second()
         used = sum(counts[second] for second in range(int(COUNTED_FROM_S), int(NAMED_UNTIL_S)))
@@ -119,7 +119,7 @@
         return Counter(
             int(arrival.at_s - self._begun_s)
             for replica in self._struck
-            for notices in replica.spoken
+            for notices in replica.notices_by_incarnation
             for arrival in notices.arrivals
         )
 
--- a/benchmarks/replica_notices.py
+++ b/benchmarks/replica_notices.py
@@ -20,8 +20,8 @@
 import msgspec
 
 from benchmarks.stream_callers import StreamCallers
-from standins.fleet import LoopbackDeployment
-from standins.notice_promises import reached_in_rest, sent_to_leaving
+from standins.deployment import LoopbackDeployment
+from standins.notice_checks import reached_during_backoff, sent_to_draining
 from standins.replica_server import ReplicaServer
 from winchfork.logs import configure_logs
 
@@ -63,7 +63,7 @@
         """Play and return a line of figures."""
         await self._deployment.start()
         await asyncio.wait_for(self._deployment.wait_until_ready(), START_S)
-        self._deployment.allow_repeats()
+        self._deployment.allow_retries()
         await asyncio.gather(self._callers.send(STREAMS_PER_S, SECONDS), self._speak())
         line = self._line()
         await self._deployment.stop()
@@ -71,23 +71,23 @@
 
     async def _speak(self) -> None:
         await asyncio.sleep(NOTICE_FROM_S)
-        models = self._deployment.models
+        models = self._deployment.model_replicas
         by_work = sorted(models, key=lambda model: len(model.notices.arrivals), reverse=True)
         self._struck = by_work[: self._play.replicas]
         for replica in self._struck:
-            replica.notices.leaving = self._play.backoff_s is None
-            replica.notices.rest_s = self._play.backoff_s
+            replica.notices.draining = self._play.backoff_s is None
+            replica.notices.backoff_s = self._play.backoff_s
         await asyncio.sleep(self._play.duration_s)
         for replica in self._struck:
-            replica.notices.rest_s = None
+            replica.notices.backoff_s = None
 
     def _line(self) -> str:
         late = sum(
-            len(sent_to_leaving(item.notices, self._callers.senders)) for item in self._struck
+            len(sent_to_draining(item.notices, self._callers.senders)) for item in self._struck
         )
         rests: Counter[str] = Counter()
         for item in self._struck:
-            rests.update(reached_in_rest(item.notices, self._callers.senders))
+            rests.update(reached_during_backoff(item.notices, self._callers.senders))
         away = sum(len(item.notices.backoffs) for item in self._struck)
         fates = ", ".join(f"{fate} {count}" for fate, count in sorted(self._callers.outcomes.items()))
         worst = max(rests.values(), default=0)
--- a/benchmarks/store_copies.py
+++ b/benchmarks/store_copies.py
@@ -23,7 +23,7 @@
 import msgspec
 
 from benchmarks.stream_callers import StreamCallers
-from standins.fleet import LoopbackDeployment
+from standins.deployment import LoopbackDeployment
 from standins.replica_server import ReplicaServer
 from winchfork.logs import configure_logs
 
@@ -78,7 +78,7 @@
         """Play and return a line of figures."""
         await self._deployment.start()
         await asyncio.wait_for(self._deployment.wait_until_ready(), START_S)
-        self._deployment.allow_repeats()
+        self._deployment.allow_retries()
         while not self._leads():
             await asyncio.sleep(POLL_INTERVAL_S)
         watching = asyncio.create_task(self._watch_leader())
@@ -104,19 +104,19 @@
         await asyncio.sleep(COPIED_S)
         copy = store.copy()
         if play.changes_leader:
-            self._deployment.lose_leader()
+            self._deployment.crash_leader()
         await asyncio.sleep(OUTAGE_FROM_S - COPIED_S)
         self._write(play.changes_before)
         if play.rewrites:
-            self._deployment.add_key(EARLIER_KEY)
-            for replica in self._deployment.models:
+            self._deployment.add_api_key(EARLIER_KEY)
+            for replica in self._deployment.model_replicas:
                 replica.announce("ready")
         await asyncio.sleep(0.3)
         store.down = True
         await asyncio.sleep(OUTAGE_S)
         self._without_leader_s = 0.0
         for number in range(play.returns):
-            store.come_back_from(copy)
+            store.restore(copy)
             store.down = False
             self._write(play.changes_after)
             await asyncio.sleep(0.5 if number + 1 < play.returns else 0.0)
@@ -130,13 +130,13 @@
     async def _change(self) -> None:
         loop = asyncio.get_running_loop()
         await asyncio.sleep(0.6)
-        self._deployment.name_weights(2)
+        self._deployment.publish_weights(2)
         self._named_s = loop.time()
         await asyncio.sleep(0.4)
-        self._deployment.add_key(NEW_KEY)
+        self._deployment.add_api_key(NEW_KEY)
         looking = asyncio.create_task(self._look_for_key(loop.time()))
         await asyncio.sleep(1.0)
-        models = self._deployment.models
+        models = self._deployment.model_replicas
         self._leaving = max(models, key=lambda model: len(model.notices.arrivals))
         self._leaving.announce("draining")
         self._left_s = loop.time()
@@ -158,10 +158,10 @@
         late = [
             item for item in self._leaving.notices.arrivals if item.at_s > self._left_s + DRAIN_S
         ]
-        bound_s = self._deployment.weights_timing.bound_s
-        begun = [item for model in self._deployment.all_models for item in model.generations]
+        bound_s = self._deployment.weights_timing.version_bound_s
+        begun = [item for model in self._deployment.all_model_replicas for item in model.generations]
         old = [
-            item for item in begun if item.version < 2 and item.began_s > self._named_s + bound_s
+            item for item in begun if item.version < 2 and item.started_at_s > self._named_s + bound_s
         ]
         last = f" (last {max(self._key_s):.2f} s)" if self._key_s else ""
         key = f"key taken by {len(self._key_s)} of {len(self._deployment.routers)}{last}"
--- a/benchmarks/stream_callers.py
+++ b/benchmarks/stream_callers.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from standins.fleet import KEY, MODEL, LoopbackDeployment
-from standins.notice_promises import Sender
+from standins.deployment import API_KEY, MODEL, LoopbackDeployment
+from standins.notice_checks import Sender
 
 FAMILIES = 23
 DEADLINE_S = 5.0
@@ -37,7 +37,7 @@
         self.senders: dict[str, Sender] = {}
         self.outcomes: Counter[str] = Counter()
 
-    async def send(self, streams_per_s: float, seconds: float, key: str = KEY) -> None:
+    async def send(self, streams_per_s: float, seconds: float, key: str = API_KEY) -> None:
         """Send for some time, and return when the last answer has come."""
         callers = []
         for _ in range(int(seconds * streams_per_s)):
@@ -53,7 +53,7 @@
         reply = await self._try(router, family, key, DEADLINE_S)
         left_s = begun_s + DEADLINE_S - loop.time()
         wait_s = reply.retry_after_s
-        kind = "" if key == KEY else "urgent "
+        kind = "" if key == API_KEY else "urgent "
         if reply.status in (429, 503) and wait_s is not None:
             self.outcomes[f"{kind}turned away once"] += 1
             await asyncio.sleep(min(wait_s, left_s * MAX_RETRY_WAIT_SHARE))
--- a/spec/check.py
+++ b/spec/check.py
@@ -60,7 +60,7 @@
     ]
 
 
-def check_found(name: str, protocol: Protocol) -> CheckResult:
+def check_violated(name: str, protocol: Protocol) -> CheckResult:
     """Check that a mutant violates some invariant."""
     started = time.perf_counter()
     report = check_safety(protocol, max_states=_MUTANT_STATES)
@@ -83,7 +83,7 @@
     protocol: Protocol,
     situations: dict[str, Callable[[dict[str, Any]], bool]],
     *,
-    wanted: bool = True,
+    expect_reachable: bool = True,
 ) -> list[CheckResult]:
     """Check that situations can (or cannot) come about, in one sweep."""
     never = {name: _negate(situation) for name, situation in situations.items()}
@@ -94,7 +94,7 @@
     for name, result in report["properties"].items():
         reached = result["holds"] is False
         detail = f"reached: {_labels(result)}" if reached else "unreachable"
-        passed = reached if wanted else result["holds"] is True
+        passed = reached if expect_reachable else result["holds"] is True
         states, whole = report["reachable_states"], bool(report["exhaustive"])
         results.append(CheckResult(prefix + name, states, whole, passed, detail, seconds))
     return results
@@ -128,19 +128,19 @@
     results += check_holds("rollout", rollout_spec.rollout_protocol(rollout_spec.RolloutRules()))
     results += _availability()
     for name, clock_rules in clock_spec.MUTANTS.items():
-        results.append(check_found(name, clock_spec.clock_protocol(clock_rules)))
+        results.append(check_violated(name, clock_spec.clock_protocol(clock_rules)))
     for name, sleep_rules in suspension_spec.MUTANTS.items():
-        results.append(check_found(name, suspension_spec.suspension_protocol(sleep_rules)))
+        results.append(check_violated(name, suspension_spec.suspension_protocol(sleep_rules)))
     for name, relay_mutant in relay_spec.MUTANTS.items():
-        results.append(check_found(name, relay_spec.relay_protocol(relay_mutant)))
+        results.append(check_violated(name, relay_spec.relay_protocol(relay_mutant)))
     for name, quota_mutant in quota_spec.MUTANTS.items():
-        results.append(check_found(name, quota_spec.quota_protocol(quota_mutant)))
+        results.append(check_violated(name, quota_spec.quota_protocol(quota_mutant)))
     for name, rollout_mutant in rollout_spec.MUTANTS.items():
-        results.append(check_found(name, rollout_spec.rollout_protocol(rollout_mutant)))
+        results.append(check_violated(name, rollout_spec.rollout_protocol(rollout_mutant)))
     for name, claim_rules in claim_spec.MUTANTS.items():
-        results.append(check_found(name, claim_spec.claim_protocol(claim_rules)))
+        results.append(check_violated(name, claim_spec.claim_protocol(claim_rules)))
     for name, mutant_rules in panel_spec.MUTANTS.items():
-        results.append(check_found(name, panel_spec.panel_protocol(mutant_rules)))
+        results.append(check_violated(name, panel_spec.panel_protocol(mutant_rules)))
     return results
 
 
@@ -157,13 +157,13 @@
                 f"panel, {restarted} of 3 restarted, store {store}: ",
                 panel_spec.panel_protocol(rules),
                 {"majority_can_vote": _majority_can_vote},
-                wanted=store_up or restarted == 1,
+                expect_reachable=store_up or restarted == 1,
             )
     return results
 
 
 def _majority_can_vote(state: dict[str, Any]) -> bool:
-    return panel_spec.able_voters(state) >= panel_spec.MAJORITY
+    return panel_spec.voters_able_to_vote(state) >= panel_spec.MAJORITY
 
 
 def main() -> int:
--- a/spec/claim_spec.py
+++ b/spec/claim_spec.py
@@ -45,7 +45,7 @@
 
     NONE = 0
     SENT = 1
-    HEARD = 2
+    RECEIVED = 2
 
 
 #: (vote, authority, keeps outcome, released A, released B, reply to A, reply to B)
@@ -81,7 +81,7 @@
     def transitions(self, state: State) -> Steps:
         steps: Steps = []
         if state[B] == Phase.IDLE and state[A] != Phase.IDLE and not state[4]:
-            steps.append(("send_again(B)", _phase(state, B, Phase.GATHERING)))
+            steps.append(("send_again(B)", _with_phase(state, B, Phase.GATHERING)))
         for attempt in (A, B):
             steps += self._ingress_steps(state, attempt)
         for number, voter in enumerate(state[5]):
@@ -95,38 +95,38 @@
         if phase is Phase.GATHERING:
             steps.append((f"give_up({name})", self._give_up(state, attempt)))
         if self._rules.failures and phase in (Phase.GATHERING, Phase.WON):
-            steps.append((f"crash({name})", _phase(state, attempt, Phase.CRASHED)))
+            steps.append((f"crash({name})", _with_phase(state, attempt, Phase.CRASHED)))
         late = not self._rules.given_up_never_dispatches and phase is Phase.GIVEN_UP
-        if phase is Phase.WON or (late and _heard(state, attempt) >= self._rules.majority):
-            steps.append((f"dispatch({name})", _phase(state, attempt, Phase.DISPATCHED)))
+        if phase is Phase.WON or (late and _received_grants(state, attempt) >= self._rules.majority):
+            steps.append((f"dispatch({name})", _with_phase(state, attempt, Phase.DISPATCHED)))
         if phase is Phase.WON:
             steps.append((f"abandon({name})", self._abandon(state, attempt)))
         if phase in (Phase.DISPATCHED, Phase.CRASHED_DISPATCHED):
             if not state[2 + attempt]:
-                steps.append((f"run({name})", _run(state, attempt)))
+                steps.append((f"run({name})", _with_run(state, attempt)))
             elif not self._rules.dispatches_once:
-                steps.append((f"resend_run({name})", _run(state, attempt)))
+                steps.append((f"resend_run({name})", _with_run(state, attempt)))
         if phase is Phase.DISPATCHED:
             if self._rules.failures:
-                crashed = _phase(state, attempt, Phase.CRASHED_DISPATCHED)
+                crashed = _with_phase(state, attempt, Phase.CRASHED_DISPATCHED)
                 steps.append((f"crash({name})", crashed))
             if state[2 + attempt]:
-                steps.append((f"answer({name})", _phase(state, attempt, Phase.ANSWERED)))
+                steps.append((f"answer({name})", _with_phase(state, attempt, Phase.ANSWERED)))
             else:
-                unsent = _tell(_phase(state, attempt, Phase.UNSENT), attempt)
+                unsent = _report_not_run(_with_phase(state, attempt, Phase.UNSENT), attempt)
                 steps.append((f"unsent({name})", unsent))
         return steps
 
     def _give_up(self, state: State, attempt: int) -> State:
-        given_up = _phase(state, attempt, Phase.GIVEN_UP)
+        given_up = _with_phase(state, attempt, Phase.GIVEN_UP)
         # The first send is declared as such by the caller; a retry proves nothing by giving up.
         if attempt == A or not self._rules.retry_needs_proof:
-            return _tell(given_up, attempt)
+            return _report_not_run(given_up, attempt)
         return given_up
 
     def _abandon(self, state: State, attempt: int) -> State:
         phase = Phase.ABANDONED if self._rules.abandon_keeps_votes else Phase.GIVEN_UP
-        return _tell(_phase(state, attempt, phase), attempt)
+        return _report_not_run(_with_phase(state, attempt, phase), attempt)
 
     def _voter_steps(self, state: State, number: int, voter: Voter) -> Steps:
         steps: Steps = []
@@ -134,7 +134,7 @@
         if self._rules.failures and voter != (NO_VOTE, 0, 0, 0, 0, voter[5], voter[6]):
             kept = 0 if self._rules.voter_remembers_restart else authority
             restarted: Voter = (NO_VOTE, kept, 0, 0, 0, voter[5], voter[6])
-            steps.append((f"restart(v{number})", _voter(state, number, restarted)))
+            steps.append((f"restart(v{number})", _with_voter(state, number, restarted)))
         for attempt in (A, B):
             name = "AB"[attempt]
             phase = _phase_of(state, attempt)
@@ -143,29 +143,29 @@
             free = vote == NO_VOTE and authority and not voter[3 + attempt]
             overwrite = not self._rules.voter_keeps_first_vote and authority
             if (free or overwrite or vote == attempt) and voter[5 + attempt] == Reply.NONE:
-                granted = _put(_put(voter, 0, attempt), 5 + attempt, Reply.SENT)
-                steps.append((f"vote(v{number},{name})", _voter(state, number, granted)))
+                granted = _with_value(_with_value(voter, 0, attempt), 5 + attempt, Reply.SENT)
+                steps.append((f"vote(v{number},{name})", _with_voter(state, number, granted)))
             if vote not in (NO_VOTE, attempt) and outcome and phase is Phase.GATHERING:
-                steps.append((f"replay(v{number},{name})", _phase(state, attempt, Phase.REPLAYED)))
+                steps.append((f"replay(v{number},{name})", _with_phase(state, attempt, Phase.REPLAYED)))
             if voter[5 + attempt] == Reply.SENT:
-                heard = _voter(state, number, _put(voter, 5 + attempt, Reply.HEARD))
-                won = phase is Phase.GATHERING and _heard(heard, attempt) >= self._rules.majority
-                after = _phase(heard, attempt, Phase.WON) if won else heard
+                heard = _with_voter(state, number, _with_value(voter, 5 + attempt, Reply.RECEIVED))
+                won = phase is Phase.GATHERING and _received_grants(heard, attempt) >= self._rules.majority
+                after = _with_phase(heard, attempt, Phase.WON) if won else heard
                 steps.append((f"hear(v{number},{name})", after))
             if phase is Phase.GIVEN_UP and not voter[3 + attempt]:
-                released = _put(voter, 3 + attempt, 1)
+                released = _with_value(voter, 3 + attempt, 1)
                 if vote == attempt:
-                    released = _put(_put(released, 0, NO_VOTE), 2, 0)
-                steps.append((f"release(v{number},{name})", _voter(state, number, released)))
+                    released = _with_value(_with_value(released, 0, NO_VOTE), 2, 0)
+                steps.append((f"release(v{number},{name})", _with_voter(state, number, released)))
             if phase is Phase.ANSWERED and vote == attempt and not outcome:
-                kept_voter = _put(voter, 2, 1)
+                kept_voter = _with_value(voter, 2, 1)
                 steps.append(
-                    (f"record_outcome(v{number},{name})", _voter(state, number, kept_voter))
+                    (f"record_outcome(v{number},{name})", _with_voter(state, number, kept_voter))
                 )
         return steps
 
 
-def _put(voter: Voter, index: int, value: int) -> Voter:
+def _with_value(voter: Voter, index: int, value: int) -> Voter:
     changed = list(voter)
     changed[index] = int(value)
     return (changed[0], changed[1], changed[2], changed[3], changed[4], changed[5], changed[6])
@@ -175,33 +175,33 @@
     return Phase(state[A] if attempt == A else state[B])
 
 
-def _phase(state: State, attempt: int, phase: Phase) -> State:
+def _with_phase(state: State, attempt: int, phase: Phase) -> State:
     phases = [state[A], state[B]]
     phases[attempt] = int(phase)
     return (phases[A], phases[B], state[2], state[3], state[4], state[5])
 
 
-def _run(state: State, attempt: int) -> State:
+def _with_run(state: State, attempt: int) -> State:
     ran = [state[2], state[3]]
     ran[attempt] += 1
     return (state[0], state[1], ran[A], ran[B], state[4], state[5])
 
 
-def _tell(state: State, attempt: int) -> State:
+def _report_not_run(state: State, attempt: int) -> State:
     """The caller hears "not run" only from the attempt it listens to."""
     listening = attempt == B or state[B] == Phase.IDLE
     told = 1 if listening else state[4]
     return (state[0], state[1], state[2], state[3], told, state[5])
 
 
-def _voter(state: State, number: int, voter: Voter) -> State:
+def _with_voter(state: State, number: int, voter: Voter) -> State:
     voters = list(state[5])
     voters[number] = voter
     return (state[0], state[1], state[2], state[3], state[4], tuple(sorted(voters)))
 
 
-def _heard(state: State, attempt: int) -> int:
-    return sum(1 for voter in state[5] if voter[5 + attempt] == Reply.HEARD)
+def _received_grants(state: State, attempt: int) -> int:
+    return sum(1 for voter in state[5] if voter[5 + attempt] == Reply.RECEIVED)
 
 
 def claim_protocol(rules: ClaimRules) -> Protocol:
@@ -233,7 +233,7 @@
     "retry_wins_after_split_vote": lambda state: (
         state["phase_a"] == Phase.GIVEN_UP
         and state["ran_b"] == 1
-        and any(voter[3] and voter[5] == Reply.HEARD for voter in state["voters"])
+        and any(voter[3] and voter[5] == Reply.RECEIVED for voter in state["voters"])
     ),
     "retry_replays_kept_answer": lambda state: state["phase_b"] == Phase.REPLAYED,
     "runs_with_one_voter_restarted": lambda state: (
--- a/spec/panel_spec.py
+++ b/spec/panel_spec.py
@@ -56,7 +56,7 @@
         _, intent, _, activated, _, store_up = state
         steps: Steps = []
         if store_up and not intent:
-            steps.append(("write_intent", _set(state, 1, 1)))
+            steps.append(("write_intent", _with_field(state, 1, 1)))
         can_seal = intent or not self._rules.writes_intent_first
         for number in range(VOTERS):
             steps += self._voter_steps(state, number, bool(can_seal))
@@ -65,7 +65,7 @@
                 if voucher != subject:
                     steps += self._vouch_steps(state, subject, voucher)
         if store_up and intent and not activated and self._is_sealed(state):
-            steps.append(("activate", _set(state, 3, 1)))
+            steps.append(("activate", _with_field(state, 3, 1)))
         return [(label, after) for label, after in steps if after != state]
 
     def _voter_steps(self, state: State, number: int, can_seal: bool) -> Steps:
@@ -75,14 +75,14 @@
         if state[4] < self._rules.max_restarts:
             kept = 0 if self._rules.restart_needs_certificate else 1
             fresh: Voter = (incarnation + 1, kept, 0, granted, 0, _NO_SEEN, 0, _NO_VOUCH)
-            restarted = _set(_voter(state, number, fresh), 4, state[4] + 1)
+            restarted = _with_field(_with_voter(state, number, fresh), 4, state[4] + 1)
             steps.append((f"restart(v{number})", restarted))
         stopped = sealed and self._rules.sealed_voter_stops
         if state[3] and certified and not stopped:
             granting: Voter = (
                 incarnation, certified, sealed, 1, reading, seen, vouchers, coming,
             )  # fmt: skip
-            steps.append((f"vote(v{number})", _voter(state, number, granting)))
+            steps.append((f"vote(v{number})", _with_voter(state, number, granting)))
         if can_seal and not state[3]:
             sealing: Voter = (
                 incarnation, certified, 1, granted, reading, seen, vouchers, coming,
@@ -90,18 +90,18 @@
             reported = seen if self._rules.seal_reports_seen else _NO_SEEN
             replies = list(state[2])
             replies[number] = (incarnation, certified, reported)
-            sealed_state = _voter(state, number, sealing)
-            steps.append((f"seal(v{number})", _set(sealed_state, 2, tuple(replies))))
+            sealed_state = _with_voter(state, number, sealing)
+            steps.append((f"seal(v{number})", _with_field(sealed_state, 2, tuple(replies))))
             steps.append((f"seal_reply_lost(v{number})", sealed_state))
         if not certified and not sealed:
             if state[5] and not state[1] and not reading:
                 asking: Voter = (
                     incarnation, certified, sealed, granted, 1, seen, vouchers, coming,
                 )  # fmt: skip
-                steps.append((f"read_store(v{number})", _voter(state, number, asking)))
+                steps.append((f"read_store(v{number})", _with_voter(state, number, asking)))
             if reading:
                 read: Voter = (incarnation, 1, sealed, granted, 0, seen, vouchers, coming)
-                steps.append((f"hear_store(v{number})", _voter(state, number, read)))
+                steps.append((f"hear_store(v{number})", _with_voter(state, number, read)))
         return steps
 
     def _vouch_steps(self, state: State, subject: int, voucher: int) -> Steps:
@@ -110,21 +110,21 @@
         if not asking[1] and not asking[2] and asking[7][voucher] < 0:
             if not other[1] or other[2]:
                 return steps
-            seen = _replace(other[5], voucher_index(subject), asking[0])
+            seen = _with_value(other[5], voucher_index(subject), asking[0])
             vouching: Voter = (*other[:5], seen, other[6], other[7])
-            coming = _replace(asking[7], voucher, other[0])
+            coming = _with_value(asking[7], voucher, other[0])
             waiting: Voter = (*asking[:7], coming)
-            after = _voter(_voter(state, voucher, vouching), subject, waiting)
+            after = _with_voter(_with_voter(state, voucher, vouching), subject, waiting)
             steps.append((f"vouch(v{voucher} for v{subject})", after))
         if asking[7][voucher] >= 0 and not asking[6] & (1 << voucher):
             needed = VOUCHES_NEEDED if self._rules.vouch_needs_all else 1
-            seen = _replace(asking[5], voucher, max(asking[5][voucher], asking[7][voucher]))
+            seen = _with_value(asking[5], voucher, max(asking[5][voucher], asking[7][voucher]))
             vouchers = asking[6] | (1 << voucher)
             certified = int(asking[1] or (vouchers.bit_count() >= needed and not asking[2]))
             heard: Voter = (
                 asking[0], certified, asking[2], asking[3], asking[4], seen, vouchers, asking[7],
             )  # fmt: skip
-            steps.append((f"hear_vouch(v{subject} of v{voucher})", _voter(state, subject, heard)))
+            steps.append((f"hear_vouch(v{subject} of v{voucher})", _with_voter(state, subject, heard)))
         return steps
 
     def _is_sealed(self, state: State) -> bool:
@@ -149,20 +149,20 @@
     return subject
 
 
-def _replace(values: tuple[int, ...], index: int, value: int) -> tuple[int, ...]:
+def _with_value(values: tuple[int, ...], index: int, value: int) -> tuple[int, ...]:
     return (*values[:index], value, *values[index + 1 :])
 
 
-def _set(state: State, index: int, value: object) -> State:
+def _with_field(state: State, index: int, value: object) -> State:
     changed = list(state)
     changed[index] = value
     return tuple(changed)  # type: ignore[return-value]
 
 
-def _voter(state: State, number: int, voter: Voter) -> State:
+def _with_voter(state: State, number: int, voter: Voter) -> State:
     voters = list(state[0])
     voters[number] = voter
-    return _set(state, 0, tuple(voters))
+    return _with_field(state, 0, tuple(voters))
 
 
 def panel_protocol(rules: PanelRules) -> Protocol:
@@ -192,7 +192,7 @@
     )
 
 
-def able_voters(state: dict[str, object]) -> int:
+def voters_able_to_vote(state: dict[str, object]) -> int:
     """Return how many voters of the old epoch can vote now."""
     voters = state["voters"]
     assert isinstance(voters, tuple)
--- a/spec/quota_spec.py
+++ b/spec/quota_spec.py
@@ -18,8 +18,8 @@
 
 from minicheck import Protocol
 
-MOST_LIVES = 3
-MOST_USED = 2
+MAX_STARTS = 3
+MAX_USED = 2
 NONE = -1
 State = tuple[int, ...]
 Steps = list[tuple[str, State]]
@@ -44,13 +44,13 @@
     """The rules under check; the mutants change one each."""
 
     #: Totals are told, not what was used since the last message.
-    tells_totals: bool = True
+    sends_totals: bool = True
     #: A total below the one that is known is late, and brings nothing.
     ignores_lower_totals: bool = True
     #: What is known of other lives stays when a message of another life is read.
-    remembers_lives: bool = True
+    remembers_starts: bool = True
     #: A new life is counted from nothing, not from the total of the life before.
-    starts_new_lives_at_zero: bool = True
+    counts_new_starts_from_zero: bool = True
 
 
 def quota_protocol(rules: QuotaRules) -> Protocol:
@@ -78,10 +78,10 @@
 
 
 def _has_counted_what_it_knows(state: dict[str, int]) -> bool:
-    return state["counted"] == sum(state[_known(life)] for life in range(MOST_LIVES))
+    return state["counted"] == sum(state[_known_key(life)] for life in range(MAX_STARTS))
 
 
-def _known(life: int) -> str:
+def _known_key(life: int) -> str:
     return f"known_{life}"
 
 
@@ -92,10 +92,10 @@
 
 def _sender_steps(now: dict[str, int]) -> Steps:
     steps: Steps = []
-    if now["used"] < MOST_USED:
+    if now["used"] < MAX_USED:
         more = {"used": now["used"] + 1, "used_in_all": now["used_in_all"] + 1}
         steps.append(("use", _with(now, **more)))
-    if now["life"] < MOST_LIVES - 1:
+    if now["life"] < MAX_STARTS - 1:
         steps.append(("restart", _with(now, life=now["life"] + 1, used=0)))
     for slot in _SLOTS:
         if now[f"{slot}_life"] == NONE:
@@ -112,31 +112,31 @@
         if life == NONE:
             continue
         gone = {f"{slot}_life": NONE, f"{slot}_used": NONE}
-        read = _read(rules, now, life, used)
+        read = _apply_message(rules, now, life, used)
         steps.append((f"lose({life}:{used})", _with(now, **gone)))
         steps.append((f"read({life}:{used})", _with(now, **gone, **read)))
         steps.append((f"read_and_come_again({life}:{used})", _with(now, **read)))
     return steps
 
 
-def _read(rules: QuotaRules, now: dict[str, int], life: int, used: int) -> dict[str, int]:
+def _apply_message(rules: QuotaRules, now: dict[str, int], life: int, used: int) -> dict[str, int]:
     """Mirror of ``UseReader.read``."""
-    known = {_known(each): now[_known(each)] for each in range(MOST_LIVES)}
-    if not rules.remembers_lives:
-        known = {key: total if key == _known(life) else 0 for key, total in known.items()}
-    start = known[_known(life)]
-    if not start and life and not rules.starts_new_lives_at_zero:
-        start = known[_known(life - 1)]
-    news = used - start if rules.tells_totals else used
+    known = {_known_key(each): now[_known_key(each)] for each in range(MAX_STARTS)}
+    if not rules.remembers_starts:
+        known = {key: total if key == _known_key(life) else 0 for key, total in known.items()}
+    start = known[_known_key(life)]
+    if not start and life and not rules.counts_new_starts_from_zero:
+        start = known[_known_key(life - 1)]
+    newly_used = used - start if rules.sends_totals else used
     if rules.ignores_lower_totals:
-        news = max(0, news)
-    known[_known(life)] = max(known[_known(life)], used)
-    return {**known, "counted": now["counted"] + news}
+        newly_used = max(0, newly_used)
+    known[_known_key(life)] = max(known[_known_key(life)], used)
+    return {**known, "counted": now["counted"] + newly_used}
 
 
 MUTANTS = {
-    "news_in_place_of_totals": QuotaRules(tells_totals=False),
+    "news_in_place_of_totals": QuotaRules(sends_totals=False),
     "late_totals_take_back": QuotaRules(ignores_lower_totals=False),
-    "another_life_is_forgotten": QuotaRules(remembers_lives=False),
-    "new_life_counts_from_the_old": QuotaRules(starts_new_lives_at_zero=False),
+    "another_life_is_forgotten": QuotaRules(remembers_starts=False),
+    "new_life_counts_from_the_old": QuotaRules(counts_new_starts_from_zero=False),
 }
--- a/spec/relay_spec.py
+++ b/spec/relay_spec.py
@@ -109,7 +109,7 @@
         changed = {f"changed_{number}": now["time"]}
         steps.append((f"write({number})", _with(now, revision=number, **changed)))
     read = {"hub_revision": now["revision"], "hub_proof": now["time"]}
-    pushed = _sent(now, now["hub_revision"], now["revision"])
+    pushed = _enqueue_update(now, now["hub_revision"], now["revision"])
     if pushed is not None and now["revision"] > now["hub_revision"]:
         steps.append(("hub_reads_and_pushes", _with(now, **read, **pushed)))
     if now["hub_proof"] != now["time"]:
@@ -137,7 +137,7 @@
     """Mirror of ``PeerGroup._take_proof`` and ``DocumentRelay.note_revision``."""
     done = {"answer_revision": NONE, "answer_age": NONE, "answer_asked": NONE}
     if rules.checks_revision and now["answer_revision"] > now["known_revision"]:
-        pulled = _sent(now, now["known_revision"], now["hub_revision"])
+        pulled = _enqueue_update(now, now["known_revision"], now["hub_revision"])
         return _with(now, **done, **(pulled or {}))
     base = now["answer_asked"] if rules.dated_from_question else now["time"]
     return _with(now, **done, proof=max(now["proof"], base - now["answer_age"]))
@@ -151,11 +151,11 @@
             continue
         gone = {f"{slot}_base": NONE, f"{slot}_at": NONE}
         steps.append((f"lose({base}..{at})", _with(now, **gone)))
-        steps.append((f"take({base}..{at})", _with(now, **gone, **_taken(rules, now, base, at))))
+        steps.append((f"take({base}..{at})", _with(now, **gone, **_apply_update(rules, now, base, at))))
     return steps
 
 
-def _taken(rules: RelayRules, now: dict[str, int], base: int, at: int) -> dict[str, int]:
+def _apply_update(rules: RelayRules, now: dict[str, int], base: int, at: int) -> dict[str, int]:
     """Mirror of ``StoreSync.take_update``."""
     entries = now["entries"]
     for number in range(base + 1, at + 1):
@@ -165,7 +165,7 @@
     return {"entries": entries, "known_revision": known}
 
 
-def _sent(now: dict[str, int], base: int, at: int) -> dict[str, int] | None:
+def _enqueue_update(now: dict[str, int], base: int, at: int) -> dict[str, int] | None:
     """Put an update under way; None when there are two already."""
     for slot in ("first", "second"):
         if now[f"{slot}_at"] == NONE:
--- a/spec/rollout_spec.py
+++ b/spec/rollout_spec.py
@@ -23,7 +23,7 @@
 from minicheck import Protocol
 
 NONE = -1
-MOST_REVISIONS = 4
+MAX_REVISIONS = 4
 State = tuple[int, ...]
 Steps = list[tuple[str, State]]
 FIELDS = (
@@ -83,7 +83,7 @@
     def transitions(state: State) -> Steps:
         now = dict(zip(FIELDS, state, strict=True))
         return [
-            *_world_steps(rules, now),
+            *_environment_steps(rules, now),
             *_leader_steps(now),
             *_write_steps(rules, now),
             *_daemon_steps(rules, now),
@@ -129,7 +129,7 @@
     return tuple(int(after[field]) for field in FIELDS)
 
 
-def _world_steps(rules: RolloutRules, now: dict[str, int]) -> Steps:
+def _environment_steps(rules: RolloutRules, now: dict[str, int]) -> Steps:
     steps: Steps = []
     if now["phase"] in _RUNNING and not now["found_bad"]:
         steps.append(("find_bad", _with(now, found_bad=1)))
@@ -137,7 +137,7 @@
         lapsed = {"daemon_proof": 0} if now["daemon_behind"] and rules.proof_expires else {}
         steps.append(("bound_passes", _with(now, bound_passed=1, **lapsed)))
     again = now["phase"] == Phase.ROLLED_BACK and now["orders"] < 2
-    if again and now["revision"] < MOST_REVISIONS:
+    if again and now["revision"] < MAX_REVISIONS:
         phase = Phase.ROLLED_BACK if rules.remembers_bad and now["judged_bad"] else Phase.TRIAL
         more = {"orders": 2, "revision": now["revision"] + 1, "phase": phase, "daemon_behind": 1}
         ordered = _with(now, **more)
@@ -173,7 +173,7 @@
     if now["write_by"] == NONE:
         return []
     gone = {"write_by": NONE, "write_on": NONE, "write_phase": NONE}
-    done = _done(rules, now)
+    done = _apply_write(rules, now)
     return [
         ("lose", _with(now, **gone)),
         ("arrive", _with(now, **gone, **done)),
@@ -181,11 +181,11 @@
     ]
 
 
-def _done(rules: RolloutRules, now: dict[str, int]) -> dict[str, int]:
+def _apply_write(rules: RolloutRules, now: dict[str, int]) -> dict[str, int]:
     """Return what a write changes in the store: nothing if a condition does not hold."""
     if rules.names_revision and now["write_on"] != now["revision"]:
         return {}
-    if now["revision"] >= MOST_REVISIONS:
+    if now["revision"] >= MAX_REVISIONS:
         return {}
     changes = {
         "revision": now["revision"] + 1,
--- a/spec/suspension_spec.py
+++ b/spec/suspension_spec.py
@@ -24,8 +24,8 @@
 
     horizon: int = 8
     #: Age up to which the holder acts, and from which others take the belief for over.
-    acts_below: int = 2
-    over_at: int = 4
+    max_action_age: int = 2
+    expires_at_age: int = 4
     counts_suspension: bool = True
 
 
@@ -40,10 +40,10 @@
         for ticks in range(1, rules.horizon - age + 1):
             slept = seen + ticks if rules.counts_suspension else seen
             steps.append((f"sleep({ticks})", (age + ticks, slept, outlived)))
-        if age < rules.over_at:
+        if age < rules.expires_at_age:
             steps.append(("renew", (0, 0, outlived)))
-        if seen < rules.acts_below:
-            steps.append(("act", (age, seen, 1 if age >= rules.over_at else outlived)))
+        if seen < rules.max_action_age:
+            steps.append(("act", (age, seen, 1 if age >= rules.expires_at_age else outlived)))
         return steps
 
     return Protocol(
@@ -58,5 +58,5 @@
 
 MUTANTS = {
     "clock_stands_still_asleep": SuspensionRules(counts_suspension=False),
-    "holder_relies_as_long_as_others": SuspensionRules(acts_below=5),
+    "holder_relies_as_long_as_others": SuspensionRules(max_action_age=5),
 }
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -6,7 +6,7 @@
 import signal
 import sys
 
-from standins.fleet import KEY, MODEL, LoopbackDeployment
+from standins.deployment import API_KEY, MODEL, LoopbackDeployment
 from winchfork.logs import configure_logs
 
 
@@ -14,7 +14,7 @@
     headers = {
         "Host": "proofs.example",
         "X-Request-Id": "try-1",
-        "X-Key": KEY,
+        "X-Key": API_KEY,
         "X-Deadline-Ms": "6000",
         "X-Model": MODEL,
         "X-Token-Usage": "1460,40",
--- a/standins/fleet.py
+++ b/standins/deployment.py
@@ -27,12 +27,12 @@
 from winchfork.router.settings import RouterSettings
 
 MODEL = "himal-70b"
-KEY = "school-key-1"
+API_KEY = "school-key-1"
 #: The key of a tenant whose requests come before those of the route's own priority.
-URGENT_KEY = "press-key-1"
+URGENT_API_KEY = "press-key-1"
 ZONES = ("thamel", "patan", "bhaktapur")
 #: Repeats that deployments allow their routers; the stand-ins' settings allow none.
-REPEATS = RetryAllowance(ratio=0.2, slack=56.0, window_s=10.0)
+RETRY_ALLOWANCE = RetryAllowance(ratio=0.2, slack=56.0, window_s=10.0)
 _CONFIGURATION = {
     "Version": 1,
     "Routes": [
@@ -83,8 +83,8 @@
         "IdleTimeoutMs": 15000,
     },
     "Tenants": [
-        {"Name": "school", "ApiKeys": [KEY]},
-        {"Name": "press", "ApiKeys": [URGENT_KEY], "Priority": 0},
+        {"Name": "school", "ApiKeys": [API_KEY]},
+        {"Name": "press", "ApiKeys": [URGENT_API_KEY], "Priority": 0},
     ],
 }
 
@@ -98,36 +98,36 @@
 class WeightsTiming:
     """The bound on replaced weights that routers are told, and how long a load takes."""
 
-    bound_s: float = 8.0
-    load_s: float = 0.1
+    version_bound_s: float = 8.0
+    load_duration_s: float = 0.1
 
 
-class Surroundings:
+class PlatformStandins:
     """What routers run among: the store, four model replicas and two application replicas."""
 
     def __init__(self, weights_timing: WeightsTiming | None = None) -> None:
         self.weights_timing = weights_timing or WeightsTiming()
         self.store = StoreServer()
-        self.weights = WeightsOperator(self.store, MODEL)
-        self.models = [
+        self.weights_operator = WeightsOperator(self.store, MODEL)
+        self.model_replicas = [
             ReplicaServer(self.store, f"i-model-{number}", "models", ZONES[number % 3], MODEL)
             for number in range(4)
         ]
-        self.applications = [
+        self.application_replicas = [
             ReplicaServer(self.store, f"i-app-{number}", "editing", ZONES[number])
             for number in range(2)
         ]
-        for replica in self.models:
-            replica.load_s = self.weights_timing.load_s
+        for replica in self.model_replicas:
+            replica.load_duration_s = self.weights_timing.load_duration_s
         #: Every replica that was ever started.
-        self.all_models = list(self.models)
-        self.all_applications = list(self.applications)
+        self.all_model_replicas = list(self.model_replicas)
+        self.all_application_replicas = list(self.application_replicas)
         #: The operators of the two services' software.
         self.model_rollouts = RolloutOperator(
-            self.store, "models", self.models, self._new_model_replica
+            self.store, "models", self.model_replicas, self._new_model_replica
         )
         self.application_rollouts = RolloutOperator(
-            self.store, "editing", self.applications, self._new_application_replica
+            self.store, "editing", self.application_replicas, self._new_application_replica
         )
         self._peer_port = free_port("127.0.0.1", socket.SOCK_DGRAM)
         self._configuration: dict[str, Any] = copy.deepcopy(_CONFIGURATION)
@@ -135,26 +135,26 @@
     def _new_model_replica(self, replica_id: str, software: str) -> ReplicaServer:
         zone = ZONES[len(replica_id) % len(ZONES)]
         replica = ReplicaServer(self.store, replica_id, "models", zone, MODEL, software)
-        replica.version = max(item.version for item in self.model_rollouts.replicas)
-        replica.fatal = self.models[0].fatal
-        replica.load_s = self.weights_timing.load_s
-        self.all_models.append(replica)
+        replica.weights_version = max(item.weights_version for item in self.model_rollouts.replicas)
+        replica.fatal_request = self.model_replicas[0].fatal_request
+        replica.load_duration_s = self.weights_timing.load_duration_s
+        self.all_model_replicas.append(replica)
         return replica
 
     def _new_application_replica(self, replica_id: str, software: str) -> ReplicaServer:
         replica = ReplicaServer(self.store, replica_id, "editing", ZONES[0], software=software)
-        self.all_applications.append(replica)
+        self.all_application_replicas.append(replica)
         return replica
 
     async def start(self) -> None:
         """Start the store with a configuration, and the replicas."""
         await self.store.start()
         self.store.put("op/config", self._configuration)
-        self.name_weights(1)
-        for replica in (*self.models, *self.applications):
+        self.publish_weights(1)
+        for replica in (*self.model_replicas, *self.application_replicas):
             await replica.start()
 
-    def add_key(self, key: str) -> None:
+    def add_api_key(self, key: str) -> None:
         """Give the first tenant one more key, as a newer configuration does."""
         self._configuration["Version"] += 1
         self._configuration["Tenants"][0]["ApiKeys"].append(key)
@@ -166,9 +166,9 @@
             await replica.stop()
         await self.store.stop()
 
-    def name_weights(self, version: int) -> None:
+    def publish_weights(self, version: int) -> None:
         """Name new weights, as operators do."""
-        self.weights.name(version)
+        self.weights_operator.publish(version)
 
     def settings_text(self, number: int, zone: str, store_address: str = "") -> str:
         """Return the settings file of router ``number``, in the platform's form."""
@@ -185,13 +185,13 @@
             "Contracts=base,rollout",
             "Bounds.ExposureShare=0.1",
             "Bounds.ExposureSlack=50",
-            f"Bounds.VersionMs={self.weights_timing.bound_s * 1000:.0f}",
+            f"Bounds.VersionMs={self.weights_timing.version_bound_s * 1000:.0f}",
             f"Platform.Address={store_address or self.store.address}",
         ]
         return "\n".join(lines)
 
 
-class LoopbackDeployment(Surroundings):
+class LoopbackDeployment(PlatformStandins):
     """Three routers, or more, in this process among the stand-ins."""
 
     def __init__(self, routers: int = len(ZONES)) -> None:
@@ -222,13 +222,13 @@
         while not all(router.state.ready and len(router.state.fleet) for router in self.routers):
             await asyncio.sleep(0.02)
 
-    def allow_repeats(self) -> None:
+    def allow_retries(self) -> None:
         """Let the routers repeat requests, as those do that have run for a whole window."""
         for router in self.routers:
-            started_s = router.state.clock() - REPEATS.window_s
-            router.state.retry_budget = SlidingRetryBudget(REPEATS, started_s)
+            started_s = router.state.clock() - RETRY_ALLOWANCE.window_s
+            router.state.retry_budget = SlidingRetryBudget(RETRY_ALLOWANCE, started_s)
 
-    def lose_leader(self) -> RouterSettings | None:
+    def crash_leader(self) -> RouterSettings | None:
         """Stop the duties of the router that leads, without a word; return its settings."""
         for router, settings in zip(self.routers, self.settings, strict=True):
             if router.state.leader_id == settings.node_id:
--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -9,7 +9,7 @@
 import struct
 
 _PIECE_BYTES = 65_536
-_LOOK_S = 0.01
+_POLL_INTERVAL_S = 0.01
 
 
 class Fault(enum.Enum):
@@ -17,10 +17,10 @@
 
     NONE = "none"
     DELAY = "delay"
-    SILENCE = "silence"
-    CUT_ANSWERS = "cut_answers"
+    STALL = "silence"
+    STALL_ANSWERS = "cut_answers"
     REFUSE = "refuse"
-    TURN_AWAY = "turn_away"
+    ANSWER_503 = "turn_away"
 
 
 _BUSY = b"HTTP/1.1 503 Status\r\nContent-Length: 0\r\n\r\n"
@@ -36,7 +36,7 @@
         self._target = target
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        self._silent: set[asyncio.StreamWriter] = set()
+        self._blackholed: set[asyncio.StreamWriter] = set()
         self.fault = Fault.NONE
         self.delay_s = 0.2
         self.address = ""
@@ -57,9 +57,9 @@
         for writer in list(self._writers):
             _reset(writer)
 
-    def silence_open(self) -> None:
+    def blackhole_open_connections(self) -> None:
         """Lose whatever comes and goes on the connections open now; new ones work."""
-        self._silent |= self._writers
+        self._blackholed |= self._writers
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.fault is Fault.REFUSE:
@@ -74,8 +74,8 @@
             return
         self._writers.add(far_writer)
         tasks = [
-            asyncio.create_task(self._pump(reader, far_writer, back=writer)),
-            asyncio.create_task(self._pump(far_reader, writer)),
+            asyncio.create_task(self._forward(reader, far_writer, reply_writer=writer)),
+            asyncio.create_task(self._forward(far_reader, writer)),
         ]
         # Cancelled when the loop ends: what is open ends with it.
         with contextlib.suppress(asyncio.CancelledError):
@@ -84,34 +84,34 @@
             task.cancel()
         for each in (writer, far_writer):
             self._writers.discard(each)
-            self._silent.discard(each)
+            self._blackholed.discard(each)
             each.transport.abort()
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        back: asyncio.StreamWriter | None = None,
+        reply_writer: asyncio.StreamWriter | None = None,
     ) -> None:
         """Pass bytes on; ``back`` is where answers to them go, None for answers themselves."""
         try:
             while data := await reader.read(_PIECE_BYTES):
-                await self._hold(answers=back is None)
-                if writer in self._silent:
+                await self._delay_or_stall(answers=reply_writer is None)
+                if writer in self._blackholed:
                     continue
-                if back is not None and self.fault is Fault.TURN_AWAY:
-                    back.write(_BUSY)
+                if reply_writer is not None and self.fault is Fault.ANSWER_503:
+                    reply_writer.write(_BUSY)
                     continue
                 writer.write(data)
                 await writer.drain()
         except (ConnectionError, asyncio.CancelledError):
             return
 
-    async def _hold(self, *, answers: bool) -> None:
+    async def _delay_or_stall(self, *, answers: bool) -> None:
         if self.fault is Fault.DELAY:
             await asyncio.sleep(self.delay_s)
-        while self.fault is Fault.SILENCE or (answers and self.fault is Fault.CUT_ANSWERS):
-            await asyncio.sleep(_LOOK_S)
+        while self.fault is Fault.STALL or (answers and self.fault is Fault.STALL_ANSWERS):
+            await asyncio.sleep(_POLL_INTERVAL_S)
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
--- a/standins/http_server.py
+++ b/standins/http_server.py
@@ -10,8 +10,8 @@
 from winchfork.emulator.free_ports import free_port
 
 #: Another listener may take a port between its being named and its being bound.
-_BIND_TRIES = 20
-_BIND_PAUSE_S = 0.05
+_MAX_BIND_ATTEMPTS = 20
+_BIND_RETRY_DELAY_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -51,29 +51,29 @@
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._serving: set[asyncio.Task[None]] = set()
-        self._silent: set[asyncio.StreamWriter] = set()
+        self._blackholed: set[asyncio.StreamWriter] = set()
         self.address = ""
 
     async def start(self) -> None:
         """Listen on a free port, or where it listened before."""
-        for _ in range(_BIND_TRIES):
+        for _ in range(_MAX_BIND_ATTEMPTS):
             port = int(self.address.rpartition(":")[2]) if self.address else free_port(self._ip)
             try:
                 self._server = await asyncio.start_server(self._serve, self._ip, port)
             except OSError:
-                await asyncio.sleep(_BIND_PAUSE_S)
+                await asyncio.sleep(_BIND_RETRY_DELAY_S)
                 continue
             self.address = f"{self._ip}:{port}"
             return
         raise OSError(f"{self.address or self._ip} cannot be bound")
 
-    def silence_open(self) -> None:
+    def blackhole_open_connections(self) -> None:
         """Lose whatever comes and goes on the connections open now; new ones work."""
-        self._silent |= self._writers
+        self._blackholed |= self._writers
 
-    def is_silent(self, writer: asyncio.StreamWriter) -> bool:
+    def is_blackholed(self, writer: asyncio.StreamWriter) -> bool:
         """Tell whether answers on a connection are lost."""
-        return writer in self._silent
+        return writer in self._blackholed
 
     async def stop(self) -> None:
         """Stop listening and end every connection at once, as a crash does."""
@@ -93,7 +93,7 @@
         try:
             while True:
                 request = await _read_request(reader)
-                if writer in self._silent:
+                if writer in self._blackholed:
                     continue
                 if not await self._handler(request, writer):
                     break
@@ -102,7 +102,7 @@
             pass
         finally:
             self._writers.discard(writer)
-            self._silent.discard(writer)
+            self._blackholed.discard(writer)
             writer.close()
 
 
--- a/standins/notice_promises.py
+++ b/standins/notice_checks.py
@@ -7,14 +7,14 @@
 from collections.abc import Iterable, Mapping
 from typing import Protocol
 
-from standins.spoken_notices import Backoff, SpokenNotices
+from standins.notice_emitter import Backoff, NoticeEmitter
 
 #: Seconds after a router had the word of a replica that leaves in which it may send to it still.
-LEAVING_BOUND_S = 2.0
+DRAINING_GRACE_S = 2.0
 #: Seconds after a replica has asked for rest in which requests may still be on their way.
-UNDER_WAY_S = 0.5
+IN_FLIGHT_S = 0.5
 #: Requests of one router that may reach a replica within its rest.
-MOST_IN_REST = 2
+MAX_DURING_BACKOFF = 2
 
 
 class IsExcused(Protocol):
@@ -35,15 +35,15 @@
     """The router that a caller sent a request to, and when, by the loop's clock."""
 
     router: int
-    sent_s: float = 0.0
+    sent_at_s: float = 0.0
 
 
-def sent_to_leaving(
-    notices: SpokenNotices, senders: Mapping[str, Sender], excused: IsExcused = never_excused
+def sent_to_draining(
+    notices: NoticeEmitter, senders: Mapping[str, Sender], excused: IsExcused = never_excused
 ) -> list[str]:
     """Return the requests sent to a router long after it had heard that the replica leaves."""
     heard: dict[int, list[float]] = {}
-    for answer in notices.left:
+    for answer in notices.draining_answers:
         heard.setdefault(senders[answer.request_id].router, []).append(answer.at_s)
     late = []
     for arrival in notices.arrivals:
@@ -51,7 +51,7 @@
         early = [
             heard_s
             for heard_s in heard.get(sender.router, ())
-            if heard_s < sender.sent_s - LEAVING_BOUND_S
+            if heard_s < sender.sent_at_s - DRAINING_GRACE_S
         ]
         # What it heard last and early enough is forgotten the least.
         if early and not excused(sender.router, max(early), arrival.at_s):
@@ -59,8 +59,8 @@
     return late
 
 
-def reached_in_rest(
-    notices: SpokenNotices, senders: Mapping[str, Sender], excused: IsExcused = never_excused
+def reached_during_backoff(
+    notices: NoticeEmitter, senders: Mapping[str, Sender], excused: IsExcused = never_excused
 ) -> Counter[str]:
     """Return, by the request that was turned away, how many of its router came within the rest."""
     counts: Counter[str] = Counter()
@@ -75,23 +75,23 @@
     return counts
 
 
-def judge_notices(
-    replicas: Iterable[tuple[str, SpokenNotices]],
+def check_notices(
+    replicas: Iterable[tuple[str, NoticeEmitter]],
     senders: Mapping[str, Sender],
     excused: IsExcused = never_excused,
 ) -> list[str]:
     """Return a line for each replica that was not left alone as it had asked."""
     broken = []
     for replica_id, notices in replicas:
-        late = sent_to_leaving(notices, senders, excused)
+        late = sent_to_draining(notices, senders, excused)
         if late:
             broken.append(
                 f"DRAIN: {len(late)} requests, the first {late[0]}, were sent to {replica_id} "
-                f"over {LEAVING_BOUND_S:g} s after an answer had said that it leaves"
+                f"over {DRAINING_GRACE_S:g} s after an answer had said that it leaves"
             )
-        counts = reached_in_rest(notices, senders, excused)
+        counts = reached_during_backoff(notices, senders, excused)
         worst = max(counts, key=lambda name: counts[name], default="")
-        if counts[worst] > MOST_IN_REST:
+        if counts[worst] > MAX_DURING_BACKOFF:
             broken.append(
                 f"BUDGET: {counts[worst]} requests reached {replica_id} within the rest that it "
                 f"had asked for when it turned {worst} away"
@@ -100,4 +100,4 @@
 
 
 def _is_in_rest(at_s: float, backoff: Backoff) -> bool:
-    return backoff.at_s + UNDER_WAY_S < at_s < backoff.until_s
+    return backoff.at_s + IN_FLIGHT_S < at_s < backoff.until_s
--- a/standins/spoken_notices.py
+++ b/standins/notice_emitter.py
@@ -26,35 +26,35 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class NamedLimit:
+class AnnouncedLimit:
     """A limit in requests a second, named since then; None: none is named since then."""
 
     per_s: float | None
     since_s: float
 
 
-class SpokenNotices:
+class NoticeEmitter:
     """The words of one replica, put into its answers, and a record of who had them and who came."""
 
     def __init__(self) -> None:
         #: Whether answers say that the replica leaves.
-        self.leaving = False
+        self.draining = False
         #: Seconds of rest that each request is turned away with; None: none is turned away.
-        self.rest_s: float | None = None
+        self.backoff_s: float | None = None
         #: Whether such an answer proves that the request did not run.
         self.proves_not_run = True
         self.arrivals: list[Arrival] = []
         #: Answers that said that the replica leaves, as arrivals of their requests.
-        self.left: list[Arrival] = []
+        self.draining_answers: list[Arrival] = []
         self.backoffs: list[Backoff] = []
         #: The limits that were named, in order.
-        self.limits: list[NamedLimit] = []
+        self.limits: list[AnnouncedLimit] = []
         #: Answers that named a limit, at the time of their heads.
-        self.limited: list[Arrival] = []
+        self.limited_answers: list[Arrival] = []
 
-    def name_limit(self, per_s: float | None) -> None:
+    def set_limit(self, per_s: float | None) -> None:
         """Name a limit from now on, or none."""
-        self.limits.append(NamedLimit(per_s, asyncio.get_running_loop().time()))
+        self.limits.append(AnnouncedLimit(per_s, asyncio.get_running_loop().time()))
 
     @property
     def limit_per_s(self) -> float | None:
@@ -63,28 +63,28 @@
 
     def headers(self, request: Request | None = None) -> dict[str, str]:
         """Return what every answer carries now; note the request that is answered with it."""
-        headers = {"Server-Leaving": "1"} if self.leaving else {}
+        headers = {"Server-Leaving": "1"} if self.draining else {}
         per_s = self.limit_per_s
         if per_s is not None:
             headers["Server-Limit"] = f"{per_s:g}"
             if request is not None:
-                self.limited.append(self._arrival(request))
+                self.limited_answers.append(self._arrival(request))
         return headers
 
-    def note_arrival(self, request: Request) -> None:
+    def record_arrival(self, request: Request) -> None:
         """Note a request that the replica is to run or to turn away."""
         arrival = self._arrival(request)
         self.arrivals.append(arrival)
-        if self.leaving:
-            self.left.append(arrival)
+        if self.draining:
+            self.draining_answers.append(arrival)
 
-    def turn_away(self, request: Request) -> dict[str, str]:
+    def refuse_with_backoff(self, request: Request) -> dict[str, str]:
         """Return the headers of a 503 with a wait, and note it."""
-        assert self.rest_s is not None
+        assert self.backoff_s is not None
         now_s = asyncio.get_running_loop().time()
         name = request.headers["x-request-id"]
-        self.backoffs.append(Backoff(name, now_s, now_s + self.rest_s))
-        headers = {"Retry-After": f"{self.rest_s:g}"}
+        self.backoffs.append(Backoff(name, now_s, now_s + self.backoff_s))
+        headers = {"Retry-After": f"{self.backoff_s:g}"}
         if self.proves_not_run:
             headers["X-Not-Executed"] = "1"
         return headers
--- a/standins/replica_server.py
+++ b/standins/replica_server.py
@@ -8,9 +8,9 @@
 import time
 from typing import Any
 
-from standins.answer_faults import SLOWED_S, AnswerSpoiler, ReplicaFault
+from standins.answer_faults import SLOW_ANSWER_DELAY_S, AnswerFaultInjector, ReplicaFault
 from standins.http_server import HttpServer, Request, write_answer
-from standins.spoken_notices import SpokenNotices
+from standins.notice_emitter import NoticeEmitter
 from standins.stale_entries import StaleEntry
 from standins.store_server import StoreServer
 
@@ -19,7 +19,7 @@
 class ReceivedOrder:
     """An order of weights as it came; time of the loop's clock."""
 
-    at_s: float
+    received_at_s: float
     holder: str
     fence: int
 
@@ -31,8 +31,8 @@
     request_id: str
     replica_id: str
     version: int
-    arrived_s: float
-    began_s: float
+    arrived_at_s: float
+    started_at_s: float
 
 
 @dataclasses.dataclass(frozen=True)
@@ -42,12 +42,12 @@
     ``body`` is what the body of such a request begins with.
     """
 
-    body: bytes
-    ends_after_s: float = 0.08
-    back_after_s: float = 1.5
+    body_prefix: bytes
+    crash_after_s: float = 0.08
+    restart_after_s: float = 1.5
     keeps_id: bool = False
     #: How long the entry of the ended incarnation stays, if another id takes its place.
-    lapses_after_s: float = 1.0
+    entry_lapses_after_s: float = 1.0
 
 
 @dataclasses.dataclass
@@ -56,8 +56,8 @@
 
     body: bytes
     request_id: str
-    began_s: float
-    ended_s: float | None = None
+    started_at_s: float
+    crashed_at_s: float | None = None
 
 
 class ReplicaServer:
@@ -72,34 +72,34 @@
         model: str = "",
         software: str = "v1",
     ) -> None:
-        self._software = software
-        self.spoiler = AnswerSpoiler(replica_id)
+        self._software_version = software
+        self.fault_injector = AnswerFaultInjector(replica_id)
         #: What each incarnation of it has said in its answers, the newest last.
-        self.spoken = [SpokenNotices()]
+        self.notices_by_incarnation = [NoticeEmitter()]
         self._store = store
         self.replica_id = replica_id
         self._service = service
         self._zone = zone
         self._model = model
-        self.version = 1
+        self.weights_version = 1
         self.sequence = 0
         self.fence = 0
         self.loading = False
         self.running = 0
-        self.read_tokens_per_s = 40_000.0
-        self.token_s = 0.004
-        self.load_s = 0.1
+        self.prefill_tokens_per_s = 40_000.0
+        self.token_interval_s = 0.004
+        self.load_duration_s = 0.1
         #: Ids of the requests that ran here, in order.
         self.ran: list[str] = []
         #: Orders as they came, and generations as they began.
         self.orders: list[ReceivedOrder] = []
         self.generations: list[Generation] = []
         #: Breaks the next stream off inside this event; 0: none.
-        self.tear_at_event = 0
+        self.truncate_at_event = 0
         #: A request that ends this replica, if there is one, and its runs here.
-        self.fatal: FatalRequest | None = None
+        self.fatal_request: FatalRequest | None = None
         self.fatal_runs: list[FatalRun] = []
-        self.born_ms = 0
+        self.started_at_ms = 0
         self._http = HttpServer(self._handle)
         self._is_ending = False
         self._endings: set[asyncio.Task[None]] = set()
@@ -108,15 +108,15 @@
         self._listens = False
 
     @property
-    def notices(self) -> SpokenNotices:
+    def notices(self) -> NoticeEmitter:
         """What the incarnation that runs now says."""
-        return self.spoken[-1]
+        return self.notices_by_incarnation[-1]
 
     async def start(self) -> None:
         """Listen, and be listed; a start after a crash has the same address."""
         self._listens = True
         await self._http.start()
-        self.born_ms = max(self.born_ms + 1, int(time.time() * 1000))
+        self.started_at_ms = max(self.started_at_ms + 1, int(time.time() * 1000))
         self.announce("ready")
 
     async def stop(self) -> None:
@@ -132,7 +132,7 @@
             self._loading_task.cancel()
         self.loading = False
         key = f"servers/{self.replica_id}"
-        return StaleEntry(self._store, key, (self._store.holder(key) or "").encode())
+        return StaleEntry(self._store, key, (self._store.get_text(key) or "").encode())
 
     async def restart(self, *, keeps_id: bool = False) -> None:
         """Begin a new incarnation after a crash, unless the replica was ended meanwhile."""
@@ -142,26 +142,26 @@
             self.replica_id += "'"
         self.sequence = 0
         self.fence = 0
-        self.spoken.append(SpokenNotices())
+        self.notices_by_incarnation.append(NoticeEmitter())
         await self.start()
 
-    def silence_open_connections(self) -> None:
+    def blackhole_open_connections(self) -> None:
         """Lose whatever comes and goes on the connections open now, for good."""
-        self._http.silence_open()
+        self._http.blackhole_open_connections()
 
     def announce(self, state: str) -> None:
         """Write the entry."""
-        models = [{"Name": self._model, "Version": self.version}] if self._model else []
+        models = [{"Name": self._model, "Version": self.weights_version}] if self._model else []
         entry = {
             "Service": self._service,
             "Address": self._http.address,
             "Zone": self._zone,
-            "Version": self._software,
+            "Version": self._software_version,
             "Slots": 16,
             "State": state,
             "Models": models,
             "Sequence": 1,
-            "born": self.born_ms,
+            "born": self.started_at_ms,
         }
         self._store.put(f"servers/{self.replica_id}", entry)
 
@@ -177,15 +177,15 @@
             headers = {"X-Not-Executed": "1", "X-Instance-Id": self.replica_id}
             write_answer(writer, refusal, headers=headers | self.notices.headers())
             return True
-        self.notices.note_arrival(request)
-        if self.notices.rest_s is not None:
+        self.notices.record_arrival(request)
+        if self.notices.backoff_s is not None:
             headers = {"X-Request-Id": request.headers["x-request-id"]} | self.notices.headers()
-            write_answer(writer, 503, headers=headers | self.notices.turn_away(request))
+            write_answer(writer, 503, headers=headers | self.notices.refuse_with_backoff(request))
             return True
         return await self._run(request, writer)
 
     def _report(self) -> dict[str, Any]:
-        models = [{"Name": self._model, "Version": self.version, "Adapters": []}]
+        models = [{"Name": self._model, "Version": self.weights_version, "Adapters": []}]
         return {
             "Stage": "both",
             "Models": models if self._model else [],
@@ -193,7 +193,7 @@
             "Sequence": self.sequence,
             "Waiting": 0,
             "Running": self.running,
-            "born": self.born_ms,
+            "born": self.started_at_ms,
         }
 
     def _order(self, request: Request) -> int:
@@ -207,7 +207,7 @@
         if self.loading or order.get("Expected", self.sequence) != self.sequence:
             return 409
         self.fence = order["FencingToken"]
-        if order["Version"] == self.version:
+        if order["Version"] == self.weights_version:
             return 200
         self.sequence += 1
         self.loading = True
@@ -217,8 +217,8 @@
     async def _load(self, version: int) -> None:
         while self.running:
             await asyncio.sleep(0.005)
-        await asyncio.sleep(self.load_s)
-        self.version = version
+        await asyncio.sleep(self.load_duration_s)
+        self.weights_version = version
         self.loading = False
         self.announce("ready")
 
@@ -229,7 +229,7 @@
         if self._is_for_another(request):
             return 421
         expected = request.headers.get("x-expected-version")
-        if expected is not None and int(expected) != self.version:
+        if expected is not None and int(expected) != self.weights_version:
             return 421
         return 503 if self.loading else 0
 
@@ -238,47 +238,47 @@
         self.running += 1
         self.ran.append(request.headers["x-request-id"])
         try:
-            if self.fatal is not None and request.body.startswith(self.fatal.body):
-                return await self._end_under(self.fatal, request)
-            spoiled = self.spoiler.draw()
+            if self.fatal_request is not None and request.body.startswith(self.fatal_request.body_prefix):
+                return await self._crash_under(self.fatal_request, request)
+            spoiled = self.fault_injector.draw_fault()
             if spoiled is ReplicaFault.FAILS:
-                write_answer(writer, 500, b"spoiled", self._proof(request))
+                write_answer(writer, 500, b"spoiled", self._answer_headers(request))
                 return True
             if spoiled is ReplicaFault.SLOW:
-                await asyncio.sleep(SLOWED_S)
+                await asyncio.sleep(SLOW_ANSWER_DELAY_S)
             if self._model:
                 return await self._stream(request, writer, arrived_s)
-            headers = self._proof(request)
+            headers = self._answer_headers(request)
             write_answer(writer, 200, b"done by " + self.replica_id.encode(), headers)
             return True
         finally:
             self.running -= 1
 
-    async def _end_under(self, fatal: FatalRequest, request: Request) -> bool:
+    async def _crash_under(self, fatal: FatalRequest, request: Request) -> bool:
         """End some time after the request has begun, with all that runs here; come back later."""
         now_s = asyncio.get_running_loop().time()
         run = FatalRun(request.body, request.headers["x-request-id"], now_s)
         self.fatal_runs.append(run)
         if not self._is_ending:
             self._is_ending = True
-            task = asyncio.create_task(self._end_and_return(fatal, run))
+            task = asyncio.create_task(self._crash_and_restart(fatal, run))
             self._endings.add(task)
             task.add_done_callback(self._endings.discard)
         await asyncio.Event().wait()
         return False
 
-    async def _end_and_return(self, fatal: FatalRequest, run: FatalRun) -> None:
-        await asyncio.sleep(fatal.ends_after_s)
-        run.ended_s = asyncio.get_running_loop().time()
+    async def _crash_and_restart(self, fatal: FatalRequest, run: FatalRun) -> None:
+        await asyncio.sleep(fatal.crash_after_s)
+        run.crashed_at_s = asyncio.get_running_loop().time()
         entry = await self.crash()
         # Somebody else may start it before its time: it can end again from now on.
         self._is_ending = False
         if not fatal.keeps_id:
-            asyncio.get_running_loop().call_later(fatal.lapses_after_s, entry.lapse)
-        await asyncio.sleep(fatal.back_after_s)
+            asyncio.get_running_loop().call_later(fatal.entry_lapses_after_s, entry.lapse)
+        await asyncio.sleep(fatal.restart_after_s)
         await self.restart(keeps_id=fatal.keeps_id)
 
-    def _proof(self, request: Request) -> dict[str, str]:
+    def _answer_headers(self, request: Request) -> dict[str, str]:
         return {
             "X-Request-Id": request.headers["x-request-id"],
             "X-Server-Signature": f"signed.{self.replica_id}",
@@ -288,29 +288,29 @@
         self, request: Request, writer: asyncio.StreamWriter, arrived_s: float
     ) -> bool:
         tokens_in, _, tokens_out = request.headers["x-token-usage"].partition(",")
-        await asyncio.sleep(int(tokens_in) / self.read_tokens_per_s)
+        await asyncio.sleep(int(tokens_in) / self.prefill_tokens_per_s)
         if writer.is_closing():
             return False
         name = request.headers["x-request-id"]
         began_s = asyncio.get_running_loop().time()
-        begun = Generation(name, self.replica_id, self.version, arrived_s, began_s)
+        begun = Generation(name, self.replica_id, self.weights_version, arrived_s, began_s)
         self.generations.append(begun)
         lines = ["HTTP/1.1 200 OK", "Content-Type: text/event-stream"]
-        lines += [f"{name}: {value}" for name, value in self._proof(request).items()]
-        lines += [f"X-Weight-Versions: {self.version}", "Transfer-Encoding: chunked", "", ""]
+        lines += [f"{name}: {value}" for name, value in self._answer_headers(request).items()]
+        lines += [f"X-Weight-Versions: {self.weights_version}", "Transfer-Encoding: chunked", "", ""]
         writer.write("\r\n".join(lines).encode())
-        tear_at, self.tear_at_event = self.tear_at_event, 0
+        tear_at, self.truncate_at_event = self.truncate_at_event, 0
         first = int(request.headers.get("last-event-id", "0")) + 1
         for number in range(first, int(tokens_out) + 1):
-            await asyncio.sleep(self.token_s)
+            await asyncio.sleep(self.token_interval_s)
             event = b"id: %d\ndata: piece %d\n\n" % (number, number)
             if number == tear_at:
                 writer.write(b"%x\r\n%b" % (len(event), event[:7]))
                 await writer.drain()
                 return False
-            if not self._http.is_silent(writer):
+            if not self._http.is_blackholed(writer):
                 writer.write(b"%x\r\n%b\r\n" % (len(event), event))
             await writer.drain()
-        if not self._http.is_silent(writer):
+        if not self._http.is_blackholed(writer):
             writer.write(b"0\r\n\r\n")
         return True
--- a/standins/rollout_operator.py
+++ b/standins/rollout_operator.py
@@ -12,9 +12,9 @@
 from standins.store_server import StoreServer
 
 #: Seconds beyond the duration in which the status must be final, whatever fails meanwhile.
-_PATIENCE_S = 30.0
+_MAX_OVERRUN_S = 30.0
 #: Seconds between two looks at the status.
-_LOOK_S = 0.05
+_POLL_INTERVAL_S = 0.05
 #: Seconds for which replicas of a version that was rolled back serve on.
 _DRAIN_S = 1.0
 
@@ -26,23 +26,23 @@
     service: str
     target: str
     state: str
-    took_s: float
+    duration_s: float
     #: Requests that ran since the order: at the target's replicas, and at all of the service.
-    on_target: int
-    in_all: int
+    target_requests: int
+    total_requests: int
     #: Answers of the target's replicas that its fault spoiled.
-    spoiled: int
+    faulty_answers: int
 
 
 #: Makes a replica of a service by id and version.
-MakeReplica = Callable[[str, str], ReplicaServer]
+ReplicaFactory = Callable[[str, str], ReplicaServer]
 
 
 class RolloutOperator:
     """Moves one service from version to version; holds its replicas in force."""
 
     def __init__(
-        self, store: StoreServer, service: str, replicas: list[ReplicaServer], make: MakeReplica
+        self, store: StoreServer, service: str, replicas: list[ReplicaServer], make: ReplicaFactory
     ) -> None:
         self._store = store
         self._service = service
@@ -51,7 +51,7 @@
         self.replicas = replicas
         self._orders = 0
 
-    async def roll(self, fault: ReplicaFault, duration_s: float) -> RolloutReport:
+    async def roll_out(self, fault: ReplicaFault, duration_s: float) -> RolloutReport:
         """Order the next version, whose replicas have a fault, and do what the status says."""
         self._orders += 1
         target = f"v{self._orders + 1}"
@@ -62,11 +62,11 @@
         loop = asyncio.get_running_loop()
         ordered_s = loop.time()
         for replica in new:
-            replica.spoiler.set(fault)
+            replica.fault_injector.set_fault(fault)
         order = {"Service": self._service, "TargetVersion": target, "DurationS": duration_s}
         before = _ran(self.replicas)
         self._store.put(f"op/rollout/{self._service}", order)
-        state = await self._await_outcome(target, ordered_s + duration_s + _PATIENCE_S)
+        state = await self._await_outcome(target, ordered_s + duration_s + _MAX_OVERRUN_S)
         took_s = loop.time() - ordered_s
         on_target = _ran(new)
         in_all = on_target + _ran(self.replicas) - before
@@ -74,7 +74,7 @@
             (self.replicas, new) if state == "completed" else (new, self.replicas)
         )
         await self._stop(leaving, drains=state != "completed")
-        spoiled = sum(replica.spoiler.spoiled for replica in new)
+        spoiled = sum(replica.fault_injector.faulty_answers for replica in new)
         return RolloutReport(self._service, target, state, took_s, on_target, in_all, spoiled)
 
     async def _await_outcome(self, target: str, until_s: float) -> str:
@@ -82,11 +82,11 @@
             status = self._status()
             if status.get("TargetVersion") == target and status.get("State") != "running":
                 return str(status["State"])
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
         return ""
 
     def _status(self) -> dict[str, object]:
-        value = self._store.holder(f"status/rollout/{self._service}")
+        value = self._store.get_text(f"status/rollout/{self._service}")
         return dict(json.loads(value)) if value else {}
 
     async def _stop(self, replicas: list[ReplicaServer], *, drains: bool) -> None:
--- a/standins/soak/__main__.py
+++ b/standins/soak/__main__.py
@@ -27,10 +27,10 @@
     print(f"seed {arguments.seed}, {arguments.seconds:.0f} s of faults, logs in {folder}")
     print("faults: " + ", ".join(f"{name} {count}" for name, count in sorted(soak.faults.items())))
     print("answers: " + ", ".join(f"{name}: {n}" for name, n in sorted(soak.outcomes.items())))
-    for line in soak.broken:
+    for line in soak.violations:
         print(f"BROKEN {line}")
-    print(f"{len(soak.broken)} promises broken")
-    return 1 if soak.broken else 0
+    print(f"{len(soak.violations)} promises broken")
+    return 1 if soak.violations else 0
 
 
 if __name__ == "__main__":
--- a/standins/soak/callers.py
+++ b/standins/soak/callers.py
@@ -8,15 +8,15 @@
 from collections import Counter
 from collections.abc import Sequence
 
-from standins.fleet import KEY, MODEL
-from standins.notice_promises import Sender
-from standins.soak.routers import RouterUnderSoak
+from standins.deployment import API_KEY, MODEL
+from standins.notice_checks import Sender
+from standins.soak.routers import SoakRouter
 
 #: Every router has callers of its own: one that stands still holds up nobody else's.
-_CALLERS_EACH = 3
-_ANSWER_S = 9.0
+_CALLERS_PER_ROUTER = 3
+_ANSWER_TIMEOUT_S = 9.0
 _PAUSE_S = 0.05
-_MOST_TOKENS = 60
+_MAX_TOKENS = 60
 _FAMILIES = 8
 
 
@@ -26,7 +26,7 @@
 
     status: int
     body: bytes
-    whole: bool
+    is_complete: bool
 
 
 @dataclasses.dataclass(frozen=True)
@@ -41,7 +41,7 @@
 class Callers:
     """Asks the routers until stopped, and keeps the answers."""
 
-    def __init__(self, routers: Sequence[RouterUnderSoak], seed: str) -> None:
+    def __init__(self, routers: Sequence[SoakRouter], seed: str) -> None:
         self._routers = routers
         self._seed = seed
         self._asked = 0
@@ -56,7 +56,7 @@
     def start(self) -> None:
         """Begin to ask."""
         for router in self._routers:
-            for caller in range(_CALLERS_EACH):
+            for caller in range(_CALLERS_PER_ROUTER):
                 generator = random.Random(f"{self._seed}/caller/{router.number}/{caller}")
                 self._tasks.append(asyncio.create_task(self._call(router, generator)))
 
@@ -65,36 +65,36 @@
         self._stop.set()
         await asyncio.gather(*self._tasks)
 
-    async def _call(self, router: RouterUnderSoak, generator: random.Random) -> None:
+    async def _call(self, router: SoakRouter, generator: random.Random) -> None:
         while not self._stop.is_set():
             if generator.random() < 0.5:
-                await self.command(router)
+                await self.send_command(router)
             else:
-                await self.stream(router, generator)
+                await self.send_stream(router, generator)
             await asyncio.sleep(generator.random() * _PAUSE_S)
 
-    async def command(self, router: RouterUnderSoak) -> Reply:
+    async def send_command(self, router: SoakRouter) -> Reply:
         """Ask for something that may run at most once."""
         request_id = self._next_id("command", router)
-        reply = await ask(router.address, "/roster/x", request_id, "")
+        reply = await send_request(router.address, "/roster/x", request_id, "")
         self.commands[request_id] = reply
         self.outcomes[f"command {reply.status}"] += 1
         return reply
 
-    async def stream(self, router: RouterUnderSoak, generator: random.Random) -> Reply:
+    async def send_stream(self, router: SoakRouter, generator: random.Random) -> Reply:
         """Ask for a stream."""
         request_id = self._next_id("stream", router)
-        tokens = generator.randrange(1, _MOST_TOKENS)
+        tokens = generator.randrange(1, _MAX_TOKENS)
         family = generator.randrange(_FAMILIES)
         extra = stream_headers(tokens, family, self._asked)
         # Half of the bodies are the same: what many send at once must not be taken for fatal.
         body = b"body" if self._asked % 2 else request_id.encode()
-        reply = await ask(router.address, "/review/x", request_id, extra, body)
-        self.outcomes[f"stream {reply.status}{'' if reply.whole else ' torn'}"] += 1
+        reply = await send_request(router.address, "/review/x", request_id, extra, body)
+        self.outcomes[f"stream {reply.status}{'' if reply.is_complete else ' torn'}"] += 1
         self.streams.append(StreamReply(request_id, tokens, reply))
         return reply
 
-    def _next_id(self, kind: str, router: RouterUnderSoak) -> str:
+    def _next_id(self, kind: str, router: SoakRouter) -> str:
         self._asked += 1
         request_id = f"{kind}-{self._asked}"
         self.senders[request_id] = Sender(router.number, asyncio.get_running_loop().time())
@@ -109,16 +109,16 @@
     )
 
 
-async def ask(address: str, path: str, request_id: str, extra: str, body: bytes = b"body") -> Reply:
+async def send_request(address: str, path: str, request_id: str, extra: str, body: bytes = b"body") -> Reply:
     """Send one request on a connection of its own; return what came back, if anything."""
     host, _, port = address.rpartition(":")
     message = (
         f"POST {path} HTTP/1.1\r\nHost: proofs.example\r\nX-Request-Id: {request_id}\r\n"
-        f"X-Key: {KEY}\r\nX-Deadline-Ms: 6000\r\n{extra}Content-Length: {len(body)}\r\n"
+        f"X-Key: {API_KEY}\r\nX-Deadline-Ms: 6000\r\n{extra}Content-Length: {len(body)}\r\n"
         "Connection: close\r\n\r\n"
     )
     try:
-        async with asyncio.timeout(_ANSWER_S):
+        async with asyncio.timeout(_ANSWER_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, int(port))
             try:
                 writer.write(message.encode() + body)
--- a/standins/soak/promises.py
+++ b/standins/soak/checks.py
@@ -14,34 +14,34 @@
 #: What a bad version may get, as the stand-ins' settings say.
 EXPOSURE_SHARE = 0.1
 EXPOSURE_SLACK = 50
-_NOT_RUN = (408, 421, 429, 503)
+_NOT_RUN_STATUSES = (408, 421, 429, 503)
 #: Faults that a version shows from the start: it must be told from a sound one.
-_BAD_FROM_THE_START = (ReplicaFault.FAILS, ReplicaFault.SLOW)
+_IMMEDIATE_FAULTS = (ReplicaFault.FAILS, ReplicaFault.SLOW)
 
 
-def judge_stream(stream: StreamReply) -> list[str]:
+def check_stream(stream: StreamReply) -> list[str]:
     """A whole stream has every event once and in order, a torn one is a prefix."""
     name, reply = stream.request_id, stream.reply
     if reply.status != 200:
         return []
-    lines = reply.body.decode("latin-1").split("\n\n")[: None if reply.whole else -1]
+    lines = reply.body.decode("latin-1").split("\n\n")[: None if reply.is_complete else -1]
     ids = [int(line[4:].split("\n")[0]) for line in lines if line.startswith("id: ")]
     expected = list(range(1, stream.tokens + 1))
     broken = []
-    if reply.whole and ids != expected:
+    if reply.is_complete and ids != expected:
         broken.append(f"{name}: a whole stream has {ids} in place of 1 to {stream.tokens}")
     if ids != expected[: len(ids)]:
         broken.append(f"{name}: a torn stream has {ids}")
     return broken
 
 
-def judge_innocent(replies: Iterable[Reply]) -> list[str]:
+def check_unrelated_refusals(replies: Iterable[Reply]) -> list[str]:
     """Nobody is refused for ends of replicas who has not brought them about."""
     refused = sum(b"ends_replicas" in reply.body for reply in replies)
     return [f"{refused} innocent requests were refused as ending replicas"] if refused else []
 
 
-def judge_commands(
+def check_commands(
     commands: Mapping[str, Reply], applications: Iterable[ReplicaServer]
 ) -> list[str]:
     """A command runs at most once, and never after an answer that promises "not run"."""
@@ -50,14 +50,14 @@
     for name, reply in commands.items():
         if runs[name] > 1:
             broken.append(f"{name} ran {runs[name]} times")
-        if reply.status in _NOT_RUN and runs[name]:
+        if reply.status in _NOT_RUN_STATUSES and runs[name]:
             broken.append(f"{name} got {reply.status} and ran")
         if reply.status == 200 and runs[name] != 1:
             broken.append(f"{name} got 200 and ran {runs[name]} times")
     return broken
 
 
-def judge_orders(models: Iterable[ReplicaServer]) -> list[str]:
+def check_orders(models: Iterable[ReplicaServer]) -> list[str]:
     """One holder a fence, and holders do not take turns within the lease bound."""
     broken = []
     for replica in models:
@@ -66,23 +66,23 @@
         for order in replica.orders:
             if holders.setdefault(order.fence, order.holder) != order.holder:
                 broken.append(f"fence {order.fence} has two holders")
-            if order.holder != last.holder and order.at_s - last.at_s < LEASE_BOUND_S:
+            if order.holder != last.holder and order.received_at_s - last.received_at_s < LEASE_BOUND_S:
                 broken.append(f"{last.holder} and {order.holder} took turns within the lease bound")
             last = order
     return broken
 
 
-def judge_rollout(report: RolloutReport, fault: ReplicaFault) -> list[str]:
+def check_rollout(report: RolloutReport, fault: ReplicaFault) -> list[str]:
     """A bad version is never put in force and gets no more than its budget."""
     name = f"{report.service} {report.target}"
     broken = []
     if not report.state:
         broken.append(f"{name}: the status was never final")
-    if fault not in _BAD_FROM_THE_START:
+    if fault not in _IMMEDIATE_FAULTS:
         return broken
-    spoiled = f"({fault.value}: {report.spoiled} of {report.on_target} answers spoiled)"
+    spoiled = f"({fault.value}: {report.faulty_answers} of {report.target_requests} answers spoiled)"
     if report.state == "completed":
         broken.append(f"{name} is bad and was put in force {spoiled}")
-    if report.on_target > EXPOSURE_SHARE * report.in_all + EXPOSURE_SLACK:
-        broken.append(f"{name} got {report.on_target} of {report.in_all} {spoiled}")
+    if report.target_requests > EXPOSURE_SHARE * report.total_requests + EXPOSURE_SLACK:
+        broken.append(f"{name} got {report.target_requests} of {report.total_requests} {spoiled}")
     return broken
--- a/standins/soak/disruptions.py
+++ b/standins/soak/disruptions.py
@@ -13,60 +13,60 @@
 from collections.abc import Callable, Iterator
 
 #: Stands for the store or a link in place of a router's number.
-EVERYBODY = 0
+ALL_ROUTERS = 0
 #: What befalls a process: it forgets what it had heard, or does not run.
 KILL = "kill"
 PLANNED_STOP = "planned stop"
-STANDSTILL = "standstill"
-PROCESS_FAULTS = (KILL, PLANNED_STOP, STANDSTILL)
+STALL = "standstill"
+PROCESS_FAULTS = (KILL, PLANNED_STOP, STALL)
 
 
 @dataclasses.dataclass
 class Disruption:
     """One disturbance; ``ended_s`` is infinite while it lasts. Times of the loop's clock."""
 
-    what: str
+    kind: str
     router: int
-    began_s: float
-    ended_s: float = math.inf
+    started_at_s: float
+    ended_at_s: float = math.inf
 
 
 class DisruptionLog:
     """Keeps every disturbance of a run."""
 
     def __init__(
-        self, contact_s: float, clock: Callable[[], float], tell: Callable[[str], None]
+        self, contact_s: float, clock: Callable[[], float], log_line: Callable[[str], None]
     ) -> None:
         self._contact_s = contact_s
         self._clock = clock
-        self.tell = tell
+        self.log_line = log_line
         self._all: list[Disruption] = []
 
     @contextlib.contextmanager
-    def during(self, what: str, router: int = EVERYBODY) -> Iterator[None]:
+    def during(self, what: str, router: int = ALL_ROUTERS) -> Iterator[None]:
         """Note a disturbance that lasts as long as the block."""
         disruption = Disruption(what, router, self._clock())
         self._all.append(disruption)
-        self.tell(f"{what} begins" + self._whose(router))
+        self.log_line(f"{what} begins" + self._whose(router))
         try:
             yield
         finally:
-            disruption.ended_s = self._clock()
-            self.tell(f"{what} ends" + self._whose(router))
+            disruption.ended_at_s = self._clock()
+            self.log_line(f"{what} ends" + self._whose(router))
 
-    def note(self, what: str, router: int) -> None:
+    def record_instant(self, what: str, router: int) -> None:
         """Note a disturbance of a router that lasts no time, such as a reset."""
         now_s = self._clock()
         self._all.append(Disruption(what, router, now_s, now_s))
-        self.tell(what + self._whose(router))
+        self.log_line(what + self._whose(router))
 
-    def stretch_start_s(self, at_s: float) -> float | None:
+    def undisturbed_since_s(self, at_s: float) -> float | None:
         """Return since when the store and all links have been sound; None: they are not."""
         start_s = -math.inf
         for disruption in self._all:
-            if disruption.router != EVERYBODY or disruption.began_s > at_s:
+            if disruption.router != ALL_ROUTERS or disruption.started_at_s > at_s:
                 continue
-            sound_s = disruption.ended_s + self._contact_s
+            sound_s = disruption.ended_at_s + self._contact_s
             if sound_s > at_s:
                 return None
             start_s = max(start_s, sound_s)
@@ -76,20 +76,20 @@
         """Tell whether a router was disturbed itself at a moment, or shortly before."""
         return any(
             disruption.router == router
-            and disruption.began_s <= at_s < disruption.ended_s + self._contact_s
+            and disruption.started_at_s <= at_s < disruption.ended_at_s + self._contact_s
             for disruption in self._all
         )
 
-    def struck_between(self, router: int, from_s: float, until_s: float) -> bool:
+    def process_disturbed_between(self, router: int, from_s: float, until_s: float) -> bool:
         """Tell whether a router's process was ended, started or stood still in that time."""
         return any(
             disruption.router == router
-            and disruption.what in PROCESS_FAULTS
-            and disruption.began_s < until_s
-            and disruption.ended_s > from_s
+            and disruption.kind in PROCESS_FAULTS
+            and disruption.started_at_s < until_s
+            and disruption.ended_at_s > from_s
             for disruption in self._all
         )
 
     @staticmethod
     def _whose(router: int) -> str:
-        return "" if router == EVERYBODY else f" at router {router}"
+        return "" if router == ALL_ROUTERS else f" at router {router}"
--- a/standins/soak/faults/scene.py
+++ b/standins/soak/faults/context.py
@@ -5,15 +5,15 @@
 import dataclasses
 from collections.abc import Sequence
 
-from standins.fleet import Surroundings
+from standins.deployment import PlatformStandins
 from standins.soak.disruptions import DisruptionLog
-from standins.soak.routers import RouterUnderSoak
+from standins.soak.routers import SoakRouter
 
 
 @dataclasses.dataclass(frozen=True)
-class Scene:
+class FaultContext:
     """The parts of one run."""
 
-    routers: Sequence[RouterUnderSoak]
-    surroundings: Surroundings
+    routers: Sequence[SoakRouter]
+    platform: PlatformStandins
     disruptions: DisruptionLog
--- a/standins/soak/faults/foreign_entries.py
+++ b/standins/soak/faults/foreign_entries.py
@@ -8,7 +8,7 @@
 
 from standins.store_server import StoreServer
 
-LEAST_KEPT_S, MOST_KEPT_S = 0.2, 3.0
+MIN_ENTRY_DURATION_S, MAX_ENTRY_DURATION_S = 0.2, 3.0
 _VALUES = (
     b"",
     b"\xff\xfe\x00",
@@ -24,11 +24,11 @@
     """Writes entries that name no replica."""
 
     def __init__(
-        self, store: StoreServer, generator: random.Random, tell: Callable[[str], None]
+        self, store: StoreServer, generator: random.Random, log_line: Callable[[str], None]
     ) -> None:
         self._store = store
         self._random = generator
-        self._tell = tell
+        self._log_line = log_line
         self._written = 0
 
     async def foreign_entry(self) -> None:
@@ -36,6 +36,6 @@
         self._written += 1
         key = f"servers/i-foreign-{self._written}"
         self._store.put(key, self._random.choice(_VALUES))
-        self._tell(f"{key} is written by another writer")
-        await asyncio.sleep(self._random.uniform(LEAST_KEPT_S, MOST_KEPT_S))
+        self._log_line(f"{key} is written by another writer")
+        await asyncio.sleep(self._random.uniform(MIN_ENTRY_DURATION_S, MAX_ENTRY_DURATION_S))
         self._store.remove(key)
--- a/standins/soak/faults/process_faults.py
+++ b/standins/soak/faults/process_faults.py
@@ -7,26 +7,26 @@
 import signal
 
 from standins.replica_server import ReceivedOrder
-from standins.soak.disruptions import KILL, PLANNED_STOP, STANDSTILL
-from standins.soak.faults.scene import Scene
-from standins.soak.routers import RouterUnderSoak
+from standins.soak.disruptions import KILL, PLANNED_STOP, STALL
+from standins.soak.faults.context import FaultContext
+from standins.soak.routers import SoakRouter
 
 #: Standstills of leaders: how many in a row and how long, in seconds.
-LEAST_IN_SERIES, MOST_IN_SERIES = 2, 4
-LEAST_STANDSTILL_S, MOST_STANDSTILL_S = 2.0, 4.0
+MIN_STALLS_IN_SERIES, MAX_STALLS_IN_SERIES = 2, 4
+MIN_STALL_S, MAX_STALL_S = 2.0, 4.0
 #: How long a series waits for a router to give orders.
-SUCCESSOR_S = 8.0
-_LOOK_S = 0.01
+MAX_SUCCESSOR_WAIT_S = 8.0
+_POLL_INTERVAL_S = 0.01
 
 
 class ProcessFaults:
     """Strikes one router process at a time, or one leader after the other."""
 
-    def __init__(self, scene: Scene, generator: random.Random, broken: list[str]) -> None:
-        self._scene = scene
+    def __init__(self, context: FaultContext, generator: random.Random, violations: list[str]) -> None:
+        self._context = context
         self._random = generator
-        self._broken = broken
-        self._standstills = 0
+        self._violations = violations
+        self._stall_count = 0
 
     async def kill(self) -> None:
         """SIGKILL, and a start within a second."""
@@ -34,8 +34,8 @@
         if router is None:
             return
         async with router.process_fault:
-            with self._scene.disruptions.during(KILL, router.number):
-                await router.end(signal.SIGKILL)
+            with self._context.disruptions.during(KILL, router.number):
+                await router.end_process(signal.SIGKILL)
                 await asyncio.sleep(self._random.random())
                 await router.start()
 
@@ -45,67 +45,67 @@
         if router is None:
             return
         async with router.process_fault:
-            with self._scene.disruptions.during(PLANNED_STOP, router.number):
-                takes_stops = router.takes(signal.SIGTERM)
-                code = await router.end(signal.SIGTERM)
+            with self._context.disruptions.during(PLANNED_STOP, router.number):
+                takes_stops = router.handles_signal(signal.SIGTERM)
+                code = await router.end_process(signal.SIGTERM)
                 if code != 0 and (takes_stops or code != -signal.SIGTERM):
-                    self._broken.append(f"a planned stop ended with {code}")
+                    self._violations.append(f"a planned stop ended with {code}")
                 await router.start()
 
     async def standstill(self) -> None:
         """Any router stands still."""
         router = self._free()
         if router is not None:
-            await self._stand(router, 0.5 + 4.0 * self._random.random())
+            await self._stall(router, 0.5 + 4.0 * self._random.random())
 
     async def leader_standstills(self) -> None:
         """Whoever gave the last order stands still, then its successor, and so on."""
         standing = []
         since = self._last_order()
-        for _ in range(self._random.randint(LEAST_IN_SERIES, MOST_IN_SERIES)):
+        for _ in range(self._random.randint(MIN_STALLS_IN_SERIES, MAX_STALLS_IN_SERIES)):
             since = await self._next_order(since)
             leader = self._holder(since)
             if leader is None or leader.process_fault.locked():
                 break
-            for_s = self._random.uniform(LEAST_STANDSTILL_S, MOST_STANDSTILL_S)
-            standing.append(asyncio.create_task(self._stand(leader, for_s)))
+            for_s = self._random.uniform(MIN_STALL_S, MAX_STALL_S)
+            standing.append(asyncio.create_task(self._stall(leader, for_s)))
             # The task must hold the leader's lock before the next look.
             await asyncio.sleep(0)
         await asyncio.gather(*standing)
 
-    async def _stand(self, router: RouterUnderSoak, for_s: float) -> None:
+    async def _stall(self, router: SoakRouter, for_s: float) -> None:
         async with router.process_fault:
-            with self._scene.disruptions.during(STANDSTILL, router.number):
+            with self._context.disruptions.during(STALL, router.number):
                 router.pause(True)
                 await asyncio.sleep(for_s)
-                self._standstills += 1
+                self._stall_count += 1
                 # Every other one is a suspension of the machine, drawn without a draw: seeds that
                 # are kept go on to mean the same faults at the same times.
-                if self._standstills % 2:
-                    router.count_suspended(for_s)
+                if self._stall_count % 2:
+                    router.add_suspension(for_s)
                 router.pause(False)
 
     async def _next_order(self, since: ReceivedOrder | None) -> ReceivedOrder | None:
         """Return an order that came after ``since``, by another holder if it had one struck."""
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + SUCCESSOR_S
+        until_s = loop.time() + MAX_SUCCESSOR_WAIT_S
         while loop.time() < until_s:
             last = self._last_order()
             holder = self._holder(last)
             if last != since and holder is not None and not holder.process_fault.locked():
                 return last
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
         return None
 
     def _last_order(self) -> ReceivedOrder | None:
-        last = [item.orders[-1] for item in self._scene.surroundings.all_models if item.orders]
-        return max(last, key=lambda order: order.at_s, default=None)
+        last = [item.orders[-1] for item in self._context.platform.all_model_replicas if item.orders]
+        return max(last, key=lambda order: order.received_at_s, default=None)
 
-    def _holder(self, order: ReceivedOrder | None) -> RouterUnderSoak | None:
+    def _holder(self, order: ReceivedOrder | None) -> SoakRouter | None:
         if order is None:
             return None
-        return next((item for item in self._scene.routers if item.node_id == order.holder), None)
+        return next((item for item in self._context.routers if item.node_id == order.holder), None)
 
-    def _free(self) -> RouterUnderSoak | None:
-        free = [item for item in self._scene.routers if not item.process_fault.locked()]
+    def _free(self) -> SoakRouter | None:
+        free = [item for item in self._context.routers if not item.process_fault.locked()]
         return self._random.choice(free) if free else None
--- a/standins/soak/lossy_router.py
+++ b/standins/soak/lossy_router.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 import winchfork.early_stop  # noqa: F401 - before the slow imports
-from standins.soak.cut_machines import CUT_MACHINES, CutMachines
-from standins.soak.suspended_clock import SUSPENDED, SuspendedTime, leave_out_suspensions
+from standins.soak.network_partition import PARTITION_FILE_VARIABLE, NetworkPartition
+from standins.soak.suspended_clock import SUSPENDED_FILE_VARIABLE, SuspendedTime, exclude_suspensions
 from winchfork.platform.__main__ import main
 from winchfork.router.boot_clock import BootClockLoop
 
@@ -22,14 +22,14 @@
 class LossyTransport:
     """Passes datagrams on to a transport, but for those that are lost."""
 
-    def __init__(self, transport: asyncio.DatagramTransport, cut: CutMachines) -> None:
+    def __init__(self, transport: asyncio.DatagramTransport, cut: NetworkPartition) -> None:
         self._transport = transport
         self._cut = cut
         self._own = transport.get_extra_info("sockname")[0]
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
         """Send a datagram, unless a cut lies between."""
-        if not self._cut.separate(self._own, address[0]):
+        if not self._cut.separates(self._own, address[0]):
             self._transport.sendto(data, address)
 
     def __getattr__(self, name: str) -> Any:
@@ -39,7 +39,7 @@
 class LossyProtocol(asyncio.DatagramProtocol):
     """Gives another protocol the lossy transport."""
 
-    def __init__(self, protocol: asyncio.DatagramProtocol, cut: CutMachines) -> None:
+    def __init__(self, protocol: asyncio.DatagramProtocol, cut: NetworkPartition) -> None:
         self._protocol = protocol
         self._cut = cut
 
@@ -60,7 +60,7 @@
         self._protocol.connection_lost(exc)
 
 
-def lose_datagrams(cut: CutMachines) -> None:
+def lose_datagrams(cut: NetworkPartition) -> None:
     """Have every datagram endpoint of this process lose what a cut loses."""
     create = BootClockLoop.create_datagram_endpoint
 
@@ -71,6 +71,6 @@
 
 
 if __name__ == "__main__":
-    leave_out_suspensions(SuspendedTime(Path(os.environ[SUSPENDED])))
-    lose_datagrams(CutMachines(Path(os.environ[CUT_MACHINES])))
+    exclude_suspensions(SuspendedTime(Path(os.environ[SUSPENDED_FILE_VARIABLE])))
+    lose_datagrams(NetworkPartition(Path(os.environ[PARTITION_FILE_VARIABLE])))
     sys.exit(main())
--- a/standins/soak/cut_machines.py
+++ b/standins/soak/network_partition.py
@@ -5,18 +5,18 @@
 from pathlib import Path
 
 #: Names the file in the environment of a router process.
-CUT_MACHINES = "SOAK_CUT_MACHINES"
+PARTITION_FILE_VARIABLE = "SOAK_CUT_MACHINES"
 #: Its name in the folder of a soak.
-CUT_FILE = "cut-machines"
+PARTITION_FILE_NAME = "cut-machines"
 
 
-class CutMachines:
+class NetworkPartition:
     """The machines that are cut off, by IP number, as a file says."""
 
     def __init__(self, file: Path) -> None:
         self._file = file
         self._changed_ns = 0
-        self._cut: frozenset[str] = frozenset()
+        self._isolated: frozenset[str] = frozenset()
 
     def write(self, addresses: set[str]) -> None:
         """Cut these machines off, and no others."""
@@ -25,10 +25,10 @@
         beside.write_text(lines)
         beside.replace(self._file)
 
-    def separate(self, one: str, other: str) -> bool:
+    def separates(self, one: str, other: str) -> bool:
         """Whether datagrams between two machines are lost."""
         self._read_again()
-        return one != other and (one in self._cut or other in self._cut)
+        return one != other and (one in self._isolated or other in self._isolated)
 
     def _read_again(self) -> None:
         try:
@@ -37,4 +37,4 @@
             return
         if changed_ns != self._changed_ns:
             self._changed_ns = changed_ns
-            self._cut = frozenset(self._file.read_text().split())
+            self._isolated = frozenset(self._file.read_text().split())
--- a/standins/soak/operators.py
+++ b/standins/soak/operators.py
@@ -8,62 +8,62 @@
 from collections.abc import Callable
 
 from standins.answer_faults import ReplicaFault
-from standins.fleet import Surroundings
+from standins.deployment import PlatformStandins
 from standins.rollout_operator import RolloutOperator
-from standins.soak.promises import judge_rollout
+from standins.soak.checks import check_rollout
 
-LEAST_BETWEEN_WEIGHTS_S, MOST_BETWEEN_WEIGHTS_S = 2.0, 6.0
-LEAST_BETWEEN_SOFTWARE_S, MOST_BETWEEN_SOFTWARE_S = 1.0, 8.0
+MIN_WEIGHTS_INTERVAL_S, MAX_WEIGHTS_INTERVAL_S = 2.0, 6.0
+MIN_ROLLOUT_INTERVAL_S, MAX_ROLLOUT_INTERVAL_S = 1.0, 8.0
 #: How long a rollout of software may take.
-ROLLOUT_S = 8.0
-_LOOK_S = 0.05
+ROLLOUT_DURATION_S = 8.0
+_POLL_INTERVAL_S = 0.05
 
 
 class Operators:
     """Act beside the faults until a moment; what came of rollouts is judged at once."""
 
     def __init__(
-        self, surroundings: Surroundings, seed: str, until_s: float, tell: Callable[[str], None]
+        self, platform: PlatformStandins, seed: str, until_s: float, log_line: Callable[[str], None]
     ) -> None:
-        self._surroundings = surroundings
+        self._platform = platform
         self._seed = seed
         self._until_s = until_s
-        self._tell = tell
+        self._log_line = log_line
         self.outcomes: Counter[str] = Counter()
-        self.broken: list[str] = []
+        self.violations: list[str] = []
 
     async def run(self) -> None:
         """Act until the time is up and every rollout has ended."""
-        surroundings = self._surroundings
+        surroundings = self._platform
         await asyncio.gather(
-            self._name_weights(),
+            self._publish_weights(),
             self._order_software("models", surroundings.model_rollouts),
             self._order_software("editing", surroundings.application_rollouts),
         )
 
-    async def name_next(self) -> int:
+    async def publish_next(self) -> int:
         """Name the next version, once the store takes it; return it."""
-        while self._surroundings.store.down:
-            await asyncio.sleep(_LOOK_S)
-        version = self._surroundings.weights.newest + 1
-        self._surroundings.name_weights(version)
-        self._tell(f"version {version} is acknowledged")
+        while self._platform.store.down:
+            await asyncio.sleep(_POLL_INTERVAL_S)
+        version = self._platform.weights_operator.newest_version + 1
+        self._platform.publish_weights(version)
+        self._log_line(f"version {version} is acknowledged")
         return version
 
-    async def _name_weights(self) -> None:
+    async def _publish_weights(self) -> None:
         generator = random.Random(f"{self._seed}/weights")
-        while await self._pause(generator.uniform(LEAST_BETWEEN_WEIGHTS_S, MOST_BETWEEN_WEIGHTS_S)):
-            await self.name_next()
+        while await self._pause(generator.uniform(MIN_WEIGHTS_INTERVAL_S, MAX_WEIGHTS_INTERVAL_S)):
+            await self.publish_next()
 
     async def _order_software(self, name: str, operator: RolloutOperator) -> None:
         generator = random.Random(f"{self._seed}/software/{name}")
         while await self._pause(
-            generator.uniform(LEAST_BETWEEN_SOFTWARE_S, MOST_BETWEEN_SOFTWARE_S)
+            generator.uniform(MIN_ROLLOUT_INTERVAL_S, MAX_ROLLOUT_INTERVAL_S)
         ):
             fault = generator.choice((ReplicaFault.NONE, ReplicaFault.FAILS, ReplicaFault.SLOW))
-            report = await operator.roll(fault, ROLLOUT_S)
+            report = await operator.roll_out(fault, ROLLOUT_DURATION_S)
             self.outcomes[f"software {fault.value} {report.state or 'unsaid'}"] += 1
-            self.broken += judge_rollout(report, fault)
+            self.violations += check_rollout(report, fault)
 
     async def _pause(self, for_s: float) -> bool:
         """Wait; False when the time is up."""
--- a/standins/soak/routers.py
+++ b/standins/soak/routers.py
@@ -10,14 +10,14 @@
 from pathlib import Path
 
 from standins.fault_proxy import FaultProxy
-from standins.fleet import Surroundings, node_id
-from standins.soak.cut_machines import CUT_FILE, CUT_MACHINES
-from standins.soak.suspended_clock import SUSPENDED, SuspendedTime
+from standins.deployment import PlatformStandins, node_id
+from standins.soak.network_partition import PARTITION_FILE_NAME, PARTITION_FILE_VARIABLE
+from standins.soak.suspended_clock import SUSPENDED_FILE_VARIABLE, SuspendedTime
 
 _ROOT = Path(__file__).resolve().parent.parent.parent
 
 
-class RouterUnderSoak:
+class SoakRouter:
     """One router process and its proxy. Faults that would meet at one of them take turns.
 
     Its first process runs the build in ``first_tree``, all later ones the build of this file.
@@ -25,7 +25,7 @@
 
     def __init__(
         self,
-        surroundings: Surroundings,
+        platform: PlatformStandins,
         number: int,
         zone: str,
         folder: Path,
@@ -33,13 +33,13 @@
     ) -> None:
         self._tree = first_tree or _ROOT
         #: When a process of this file's build was started first; infinite before.
-        self.upgraded_s = math.inf
-        self._surroundings = surroundings
+        self.upgraded_at_s = math.inf
+        self._platform = platform
         self.number = number
         self._zone = zone
         self._file = folder / f"router-{number}.conf"
         self._log = folder / f"router-{number}.log"
-        self._cut_machines = folder / CUT_FILE
+        self._partition_file = folder / PARTITION_FILE_NAME
         self._suspended_file = folder / f"suspended-{number}"
         self._suspended = SuspendedTime(self._suspended_file)
         self._process: asyncio.subprocess.Process | None = None
@@ -52,7 +52,7 @@
     @property
     def runs_earlier_build(self) -> bool:
         """Whether no process of this file's build has been started yet."""
-        return math.isinf(self.upgraded_s)
+        return math.isinf(self.upgraded_at_s)
 
     @property
     def machine_ip(self) -> str:
@@ -61,9 +61,9 @@
 
     async def prepare(self) -> None:
         """Start the proxy and write the settings, which stay the same over restarts."""
-        self.proxy = FaultProxy(self._surroundings.store.address)
+        self.proxy = FaultProxy(self._platform.store.address)
         await self.proxy.start()
-        text = self._surroundings.settings_text(self.number, self._zone, self.proxy.address)
+        text = self._platform.settings_text(self.number, self._zone, self.proxy.address)
         self._file.write_text(text)
         lines = dict(line.split("=", 1) for line in text.splitlines())
         self.address = lines["ListenAddresses.Front"]
@@ -72,12 +72,12 @@
         """Start the process."""
         tree, self._tree = self._tree, _ROOT
         if tree == _ROOT:
-            self.upgraded_s = min(self.upgraded_s, asyncio.get_running_loop().time())
+            self.upgraded_at_s = min(self.upgraded_at_s, asyncio.get_running_loop().time())
         self._suspended.write(0.0)
         files = {
             "WINCHFORK_BOOT": str(self._file),
-            CUT_MACHINES: str(self._cut_machines),
-            SUSPENDED: str(self._suspended_file),
+            PARTITION_FILE_VARIABLE: str(self._partition_file),
+            SUSPENDED_FILE_VARIABLE: str(self._suspended_file),
         }
         environment = {**os.environ, **files}
         with self._log.open("ab") as log:
@@ -91,7 +91,7 @@
                 stderr=log,
             )
 
-    async def end(self, number: signal.Signals) -> int:
+    async def end_process(self, number: signal.Signals) -> int:
         """Send a signal that ends the process; return its exit code.
 
         A process that has ended by itself is a broken promise: its code is not 0.
@@ -101,7 +101,7 @@
             self._process.send_signal(number)
         return await self._process.wait()
 
-    def takes(self, number: signal.Signals) -> bool:
+    def handles_signal(self, number: signal.Signals) -> bool:
         """Whether the process has a handler for a signal: without, the signal's default ends it.
 
         A process that the system has started runs nothing of the router for some hundredths of a
@@ -125,6 +125,6 @@
         if self._process.returncode is None:
             self._process.send_signal(signal.SIGSTOP if paused else signal.SIGCONT)
 
-    def count_suspended(self, seconds: float) -> None:
+    def add_suspension(self, seconds: float) -> None:
         """Let the process, which is frozen, find that its machine was suspended for so long."""
         self._suspended.write(self._suspended.total_s() + seconds)
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -9,35 +9,35 @@
 from datetime import UTC, datetime
 from pathlib import Path
 
-from standins.fleet import ZONES, Surroundings, WeightsTiming
-from standins.limit_promises import judge_limits
-from standins.notice_promises import judge_notices
+from standins.deployment import ZONES, PlatformStandins, WeightsTiming
+from standins.limit_checks import check_limits
+from standins.notice_checks import check_notices
 from standins.soak.callers import Callers
-from standins.soak.cut_machines import CUT_FILE, CutMachines
+from standins.soak.network_partition import PARTITION_FILE_NAME, NetworkPartition
 from standins.soak.disruptions import DisruptionLog
-from standins.soak.fatal_requests import FatalCallers, judge_fatal, prepare_replicas
+from standins.soak.fatal_requests import FatalCallers, check_fatal_requests, prepare_replicas
 from standins.soak.faults.foreign_entries import ForeignEntries
 from standins.soak.faults.peer_faults import PeerFaults
 from standins.soak.faults.process_faults import ProcessFaults
 from standins.soak.faults.replica_faults import ReplicaFaults
-from standins.soak.faults.scene import Scene
+from standins.soak.faults.context import FaultContext
 from standins.soak.faults.store_faults import StoreFaults
 from standins.soak.lanes import Lane
 from standins.soak.operators import Operators
-from standins.soak.promises import judge_commands, judge_innocent, judge_orders, judge_stream
-from standins.soak.routers import RouterUnderSoak
-from standins.soak.weights_promises import (
-    END_SHARE,
+from standins.soak.checks import check_commands, check_unrelated_refusals, check_orders, check_stream
+from standins.soak.routers import SoakRouter
+from standins.soak.weights_checks import (
+    FINAL_BOUND_FACTOR,
     describe_late,
     late_generations,
-    stragglers,
+    replicas_behind,
 )
 
 RECOVERY_S = 20.0
 #: As routers take it where their settings say nothing.
 CONTACT_S = 3.0
 #: Short, so that a run of a minute holds many; a load takes a noticeable part of it.
-WEIGHTS_TIMING = WeightsTiming(bound_s=4.0, load_s=0.4)
+WEIGHTS_TIMING = WeightsTiming(version_bound_s=4.0, load_duration_s=0.4)
 #: Longest pauses between the faults of a lane, in seconds.
 PROCESS_PAUSE_S = 2.0
 LEADER_PAUSE_S = 6.0
@@ -45,7 +45,7 @@
 CONNECTION_PAUSE_S = 12.0
 STORE_PAUSE_S = 12.0
 ENTRY_PAUSE_S = 4.0
-WORD_PAUSE_S = 5.0
+NOTICE_PAUSE_S = 5.0
 LIMIT_PAUSE_S = 6.0
 PEER_PAUSE_S = 12.0
 #: Faults of the store and of links stop every bound, so they begin up to this part of a run late.
@@ -61,17 +61,17 @@
         self._seed = str(seed)
         self._seconds = seconds
         self._folder = folder
-        self._surroundings = Surroundings(WEIGHTS_TIMING)
+        self._platform = PlatformStandins(WEIGHTS_TIMING)
         self._routers = [
-            RouterUnderSoak(self._surroundings, number, zone, folder, first_tree)
+            SoakRouter(self._platform, number, zone, folder, first_tree)
             for number, zone in enumerate(ZONES, start=1)
         ]
         self._callers = Callers(self._routers, self._seed)
-        self._fatal = FatalCallers(self._routers, self._generator("fatal requests"))
+        self._fatal_callers = FatalCallers(self._routers, self._generator("fatal requests"))
         generator = self._generator("ends of replicas")
-        prepare_replicas(self._surroundings.models, generator)
+        prepare_replicas(self._platform.model_replicas, generator)
         self.faults: Counter[str] = Counter()
-        self.broken: list[str] = []
+        self.violations: list[str] = []
 
     @property
     def outcomes(self) -> Counter[str]:
@@ -87,7 +87,7 @@
                 router.kill()
 
     async def _run(self) -> None:
-        await self._surroundings.start()
+        await self._platform.start()
         for router in self._routers:
             await router.prepare()
             await router.start()
@@ -95,43 +95,43 @@
         self._callers.start()
         loop = asyncio.get_running_loop()
         until_s = loop.time() + self._seconds
-        disruptions = DisruptionLog(CONTACT_S, loop.time, self._tell)
-        operators = Operators(self._surroundings, self._seed, until_s, self._tell)
-        replicas = ReplicaFaults(self._surroundings, self._generator("replicas struck"), self._tell)
+        disruptions = DisruptionLog(CONTACT_S, loop.time, self._log_line)
+        operators = Operators(self._platform, self._seed, until_s, self._log_line)
+        replicas = ReplicaFaults(self._platform, self._generator("replicas struck"), self._log_line)
         lanes = self._lanes(disruptions, replicas)
         await asyncio.gather(
             operators.run(),
-            self._fatal.run(until_s),
+            self._fatal_callers.run(until_s),
             *(lane.run(self._generator(lane.name), until_s, self.faults) for lane in lanes),
         )
         # Routers forget at a restart what they took a replica for: none comes after this fault.
-        await replicas.crash_with_late_entry(self._surroundings.model_rollouts)
-        self._tell("healed")
+        await replicas.crash_with_late_entry(self._platform.model_rollouts)
+        self._log_line("healed")
         await self._expect_newest_weights(operators)
         await self._callers.stop()
         await self._expect_service("after the last fault")
         self.outcomes.update(operators.outcomes)
-        self.broken += operators.broken
-        self._judge(disruptions)
+        self.violations += operators.violations
+        self._check_guarantees(disruptions)
         for router in self._routers:
-            code = await router.end(signal.SIGTERM)
+            code = await router.end_process(signal.SIGTERM)
             if code != 0:
-                self.broken.append(f"a planned stop ended with {code}")
+                self.violations.append(f"a planned stop ended with {code}")
             await router.proxy.stop()
-        await self._surroundings.stop()
+        await self._platform.stop()
 
     def _lanes(self, disruptions: DisruptionLog, replicas: ReplicaFaults) -> list[Lane]:
-        scene = Scene(self._routers, self._surroundings, disruptions)
-        leaders = ProcessFaults(scene, self._generator("leaders struck"), self.broken)
-        processes = ProcessFaults(scene, self._generator("processes struck"), self.broken)
+        scene = FaultContext(self._routers, self._platform, disruptions)
+        leaders = ProcessFaults(scene, self._generator("leaders struck"), self.violations)
+        processes = ProcessFaults(scene, self._generator("processes struck"), self.violations)
         connections = StoreFaults(scene, self._generator("connections struck"))
         store = StoreFaults(scene, self._generator("store struck"))
         copies = StoreFaults(scene, self._generator("store brought back"))
-        words = ReplicaFaults(self._surroundings, self._generator("words"), self._tell)
-        limits = ReplicaFaults(self._surroundings, self._generator("limits"), self._tell)
-        entries = ForeignEntries(self._surroundings.store, self._generator("entries"), self._tell)
+        words = ReplicaFaults(self._platform, self._generator("words"), self._log_line)
+        limits = ReplicaFaults(self._platform, self._generator("limits"), self._log_line)
+        entries = ForeignEntries(self._platform.store, self._generator("entries"), self._log_line)
         peers = PeerFaults(
-            scene, self._generator("peers struck"), CutMachines(self._folder / CUT_FILE)
+            scene, self._generator("peers struck"), NetworkPartition(self._folder / PARTITION_FILE_NAME)
         )
         delay_s = self._seconds * STORE_DELAY_SHARE
         return [
@@ -159,7 +159,7 @@
             Lane(
                 "words",
                 [words.leaves_by_its_answers, words.turn_away_with_a_wait],
-                WORD_PAUSE_S,
+                NOTICE_PAUSE_S,
             ),
             Lane("limits", [limits.name_limits], LIMIT_PAUSE_S),
             Lane("entries", [entries.foreign_entry], ENTRY_PAUSE_S),
@@ -172,7 +172,7 @@
         """Return a source of draws of its own, so that tasks do not take each other's."""
         return random.Random(f"{self._seed}/{name}")
 
-    def _tell(self, what: str) -> None:
+    def _log_line(self, what: str) -> None:
         """Write a line beside the routers' logs, whose times it can be compared with."""
         time = datetime.now(UTC).isoformat(timespec="milliseconds")
         with (self._folder / "soak.log").open("a") as log:
@@ -183,50 +183,50 @@
         deadline_s = loop.time() + RECOVERY_S
         generator = self._generator(when)
         for router in self._routers:
-            while (await self._callers.stream(router, generator)).status != 200:
+            while (await self._callers.send_stream(router, generator)).status != 200:
                 if loop.time() > deadline_s:
-                    self.broken.append(f"{router.address} does not serve {when}")
+                    self.violations.append(f"{router.address} does not serve {when}")
                     return
                 await asyncio.sleep(0.2)
 
     async def _expect_newest_weights(self, operators: Operators) -> None:
         """Once healed, one more version must reach every living replica."""
         await asyncio.sleep(CONTACT_S)
-        version = await operators.name_next()
-        within_s = END_SHARE * WEIGHTS_TIMING.bound_s
-        in_force = self._surroundings.model_rollouts
-        for replica in await stragglers(lambda: in_force.replicas, version, within_s):
-            self.broken.append(
-                f"VERSION: {replica.replica_id} holds version {replica.version} {within_s:.0f} s "
+        version = await operators.publish_next()
+        within_s = FINAL_BOUND_FACTOR * WEIGHTS_TIMING.version_bound_s
+        in_force = self._platform.model_rollouts
+        for replica in await replicas_behind(lambda: in_force.replicas, version, within_s):
+            self.violations.append(
+                f"VERSION: {replica.replica_id} holds version {replica.weights_version} {within_s:.0f} s "
                 f"after version {version}, once healed"
             )
 
-    def _judge(self, disruptions: DisruptionLog) -> None:
-        surroundings, callers = self._surroundings, self._callers
+    def _check_guarantees(self, disruptions: DisruptionLog) -> None:
+        surroundings, callers = self._platform, self._callers
         for stream in callers.streams:
-            self.broken += judge_stream(stream)
-        self.broken += judge_commands(callers.commands, surroundings.all_applications)
-        self.broken += judge_orders(surroundings.all_models)
+            self.violations += check_stream(stream)
+        self.violations += check_commands(callers.commands, surroundings.all_application_replicas)
+        self.violations += check_orders(surroundings.all_model_replicas)
         replies = [*callers.commands.values(), *(stream.reply for stream in callers.streams)]
-        self.broken += judge_innocent(replies)
-        models = surroundings.all_models
-        self.broken += judge_fatal(models, self._fatal.senders, disruptions, CONTACT_S)
-        generations = [begun for item in surroundings.all_models for begun in item.generations]
-        bound_s = WEIGHTS_TIMING.bound_s
-        named = surroundings.weights.named
-        senders = callers.senders | self._fatal.senders
+        self.violations += check_unrelated_refusals(replies)
+        models = surroundings.all_model_replicas
+        self.violations += check_fatal_requests(models, self._fatal_callers.senders, disruptions, CONTACT_S)
+        generations = [begun for item in surroundings.all_model_replicas for begun in item.generations]
+        bound_s = WEIGHTS_TIMING.version_bound_s
+        named = surroundings.weights_operator.published
+        senders = callers.senders | self._fatal_callers.senders
         spoken = [
             (item.replica_id, notices)
-            for item in (*models, *surroundings.all_applications)
-            for notices in item.spoken
+            for item in (*models, *surroundings.all_application_replicas)
+            for notices in item.notices_by_incarnation
         ]
-        upgraded_s = {router.number: router.upgraded_s for router in self._routers}
+        upgraded_s = {router.number: router.upgraded_at_s for router in self._routers}
 
         def excused(router: int, from_s: float, until_s: float) -> bool:
             is_earlier_build = from_s < upgraded_s[router]
-            return is_earlier_build or disruptions.struck_between(router, from_s, until_s)
+            return is_earlier_build or disruptions.process_disturbed_between(router, from_s, until_s)
 
-        self.broken += judge_notices(spoken, senders, excused)
-        self.broken += judge_limits(spoken, senders, excused)
+        self.violations += check_notices(spoken, senders, excused)
+        self.violations += check_limits(spoken, senders, excused)
         late = late_generations(generations, named, senders, disruptions, bound_s)
-        self.broken += describe_late(late)
+        self.violations += describe_late(late)
--- a/standins/soak/suspended_clock.py
+++ b/standins/soak/suspended_clock.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 #: Names the file in the environment of a router process.
-SUSPENDED = "SOAK_SUSPENDED"
+SUSPENDED_FILE_VARIABLE = "SOAK_SUSPENDED"
 
 
 class SuspendedTime:
@@ -41,7 +41,7 @@
         return self._total_s
 
 
-def leave_out_suspensions(suspended: SuspendedTime) -> None:
+def exclude_suspensions(suspended: SuspendedTime) -> None:
     """Have the steady clock of this process stand still for as long as the file says."""
     monotonic, clock_gettime = time.monotonic, time.clock_gettime
 
--- a/standins/stale_entries.py
+++ b/standins/stale_entries.py
@@ -19,13 +19,13 @@
     key: str
     value: bytes
     #: What the living replica had written where a late entry took its place.
-    _of_the_living: bytes | None = None
+    _replaced_value: bytes | None = None
 
     def lapse(self) -> None:
         """Remove it, as after heartbeats that did not come; a living replica's entry stays."""
-        if self._of_the_living is not None:
-            self.store.put(self.key, self._of_the_living)
-            self._of_the_living = None
+        if self._replaced_value is not None:
+            self.store.put(self.key, self._replaced_value)
+            self._replaced_value = None
         elif self._current() == self.value:
             self.store.remove(self.key)
 
@@ -33,9 +33,9 @@
         """Write it once more: a heartbeat that was on its way when the replica ended."""
         current = self._current()
         if current is not None and current != self.value:
-            self._of_the_living = current
+            self._replaced_value = current
         self.store.put(self.key, self.value)
 
     def _current(self) -> bytes | None:
-        held = self.store.holder(self.key)
+        held = self.store.get_text(self.key)
         return held.encode() if held is not None else None
--- a/standins/store_server.py
+++ b/standins/store_server.py
@@ -11,14 +11,14 @@
 from standins.http_server import HttpServer, Request, write_answer
 
 #: Pause between looks for changes while a watch waits.
-_LOOK_S = 0.01
+_POLL_INTERVAL_S = 0.01
 _PAGE_ITEMS = 500
 
 
 #: An entry that a copy has brought back and nobody writes lapses after this time.
-LAPSE_S = 3.6
+RESTORED_ENTRY_LAPSE_S = 3.6
 #: What the operator and the replicas write, which they write again after the store's return.
-_WRITTEN_AGAIN = ("op/", "servers/")
+_REWRITTEN_PREFIXES = ("op/", "servers/")
 
 
 @dataclasses.dataclass(frozen=True)
@@ -84,7 +84,7 @@
             gone = {"PrivateKey": key, "Revision": self.revision, "gone": True}
             self._history.append(gone)
 
-    def holder(self, key: str) -> str | None:
+    def get_text(self, key: str) -> str | None:
         """Return an item's value as text."""
         item = self._items.get(key)
         return base64.b64decode(item["Value"]).decode() if item else None
@@ -99,7 +99,7 @@
             dict(self._items), list(self._history), self.revision, leases, self._last_lease
         )
 
-    def come_back_from(self, copy: StoreCopy) -> None:
+    def restore(self, copy: StoreCopy) -> None:
         """Be as at an earlier moment, in a new era; operator and replicas write theirs again."""
         now_s = asyncio.get_running_loop().time()
         lost = self._items
@@ -112,17 +112,17 @@
         self._last_lease = copy.last_lease
         if self.era:
             self.era += 1
-        self._write_again(lost)
+        self._rewrite_lost_entries(lost)
 
-    def _write_again(self, lost: dict[str, dict[str, Any]]) -> None:
+    def _rewrite_lost_entries(self, lost: dict[str, dict[str, Any]]) -> None:
         for key, before in sorted(lost.items()):
             now = self._items.get(key)
-            if key.startswith(_WRITTEN_AGAIN) and (now is None or now["Value"] != before["Value"]):
+            if key.startswith(_REWRITTEN_PREFIXES) and (now is None or now["Value"] != before["Value"]):
                 self.put(key, base64.b64decode(before["Value"]))
         loop = asyncio.get_running_loop()
         for key in self._items.keys() - lost.keys():
-            if key.startswith(_WRITTEN_AGAIN):
-                loop.call_later(LAPSE_S, self._lapse, key, self._items[key]["Revision"], self.era)
+            if key.startswith(_REWRITTEN_PREFIXES):
+                loop.call_later(RESTORED_ENTRY_LAPSE_S, self._lapse, key, self._items[key]["Revision"], self.era)
 
     def _lapse(self, key: str, revision: int, era: int) -> None:
         """Remove an entry that nobody has written since the store's return."""
@@ -185,7 +185,7 @@
             ]
             if events or loop.time() >= until_s:
                 return 200, {"Events": events, "at": self.revision}
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
 
     def _transact(self, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
         for condition in body.get("Expected", ()):
--- a/standins/weights_operator.py
+++ b/standins/weights_operator.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class NamedWeights:
+class PublishedWeights:
     """A version and when the store acknowledged it, by the loop's clock."""
 
     version: int
@@ -22,15 +22,15 @@
     def __init__(self, store: StoreServer, model: str) -> None:
         self._store = store
         self._model = model
-        self.named: list[NamedWeights] = []
+        self.published: list[PublishedWeights] = []
 
     @property
-    def newest(self) -> int:
+    def newest_version(self) -> int:
         """The newest version, or 0."""
-        return self.named[-1].version if self.named else 0
+        return self.published[-1].version if self.published else 0
 
-    def name(self, version: int) -> None:
+    def publish(self, version: int) -> None:
         """Name a version; the store takes it at once."""
         value = {"Model": self._model, "Version": version}
         self._store.put(f"op/version/{self._model}", value)
-        self.named.append(NamedWeights(version, asyncio.get_running_loop().time()))
+        self.published.append(PublishedWeights(version, asyncio.get_running_loop().time()))
--- a/tests/loopback_case.py
+++ b/tests/loopback_case.py
@@ -6,8 +6,8 @@
 import random
 import unittest
 
-from standins.fleet import KEY, MODEL, LoopbackDeployment
-from standins.notice_promises import Sender
+from standins.deployment import API_KEY, MODEL, LoopbackDeployment
+from standins.notice_checks import Sender
 from standins.replica_server import ReplicaServer
 from tests.relay_support import ReceivedAnswer, read_answer
 
@@ -21,7 +21,7 @@
     """Return a short streamed request of a prompt family."""
     return (
         f"POST /review/x HTTP/1.1\r\nHost: proofs.example\r\nX-Request-Id: stream-{number}\r\n"
-        f"X-Key: {KEY}\r\nX-Deadline-Ms: 5000\r\nX-Model: {MODEL}\r\nX-Token-Usage: 400,8\r\n"
+        f"X-Key: {API_KEY}\r\nX-Deadline-Ms: 5000\r\nX-Model: {MODEL}\r\nX-Token-Usage: 400,8\r\n"
         f"X-Prefix-Hash: 5c1e07a2:90,{family:08x}:110,{number:08x}:200\r\n"
         "Content-Length: 4\r\nConnection: close\r\n\r\nbody"
     ).encode()
@@ -35,7 +35,7 @@
         await self.deployment.start()
         self.addAsyncCleanup(self.deployment.stop)
         await asyncio.wait_for(self.deployment.wait_until_ready(), MAX_WAIT_S)
-        self.deployment.allow_repeats()
+        self.deployment.allow_retries()
         self.random = random.Random(SEED)
         self.senders: dict[str, Sender] = {}
         self.statuses: list[int] = []
@@ -64,5 +64,5 @@
 
     def models_by_requests(self) -> list[ReplicaServer]:
         """Return the model replicas, the one that got most requests first."""
-        models = self.deployment.models
+        models = self.deployment.model_replicas
         return sorted(models, key=lambda model: len(model.notices.arrivals), reverse=True)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -13,7 +13,7 @@
 import asyncio
 import unittest
 
-from standins.fleet import KEY, MODEL, LoopbackDeployment
+from standins.deployment import API_KEY, MODEL, LoopbackDeployment
 from standins.replica_server import FatalRequest
 from tests.relay_support import ReceivedAnswer, read_answer
 
@@ -28,7 +28,7 @@
 def _stream_request(request_id: str, body: bytes) -> bytes:
     head = (
         f"POST /review/x HTTP/1.1\r\nHost: proofs.example\r\nX-Request-Id: {request_id}\r\n"
-        f"X-Key: {KEY}\r\nX-Deadline-Ms: 3000\r\nX-Model: {MODEL}\r\nX-Token-Usage: 900,12\r\n"
+        f"X-Key: {API_KEY}\r\nX-Deadline-Ms: 3000\r\nX-Model: {MODEL}\r\nX-Token-Usage: 900,12\r\n"
         f"X-Prefix-Hash: 5c1e07a2:300,91bd3f06:410,{len(body):08x}:190\r\n"
         f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
     )
@@ -40,8 +40,8 @@
         deployment = LoopbackDeployment()
         await deployment.start()
         self.addAsyncCleanup(deployment.stop)
-        for replica in deployment.models:
-            replica.fatal = FatalRequest(FATAL_BODY, keeps_id=keeps_id)
+        for replica in deployment.model_replicas:
+            replica.fatal_request = FatalRequest(FATAL_BODY, keeps_id=keeps_id)
         await asyncio.wait_for(deployment.wait_until_ready(), _PATIENCE_S)
         return deployment
 
@@ -67,7 +67,7 @@
     async def _ends_are_few(self, *, keeps_id: bool) -> None:
         deployment = await self._deploy(keeps_id=keeps_id)
         await self._repeat(deployment, 20)
-        runs = sum(len(replica.fatal_runs) for replica in deployment.models)
+        runs = sum(len(replica.fatal_runs) for replica in deployment.model_replicas)
         self.assertGreaterEqual(runs, 1)
         self.assertLessEqual(runs, MOST_ENDS + MOST_LATER_RUNS)
         answer = await self._ask(deployment, 0, "innocent", b"other")
@@ -84,7 +84,7 @@
         deployment = await self._deploy(keeps_id=False)
         await self._repeat(deployment, 12)
         await deployment.restart_routers()
-        before = sum(len(replica.fatal_runs) for replica in deployment.models)
+        before = sum(len(replica.fatal_runs) for replica in deployment.model_replicas)
         await self._repeat(deployment, 8, first=100)
-        after = sum(len(replica.fatal_runs) for replica in deployment.models)
+        after = sum(len(replica.fatal_runs) for replica in deployment.model_replicas)
         self.assertEqual(after - before, 0)
--- a/tests/test_early_stop.py
+++ b/tests/test_early_stop.py
@@ -11,8 +11,8 @@
 from asyncio.subprocess import PIPE
 from pathlib import Path
 
-from standins.fleet import ZONES, Surroundings
-from standins.soak.routers import RouterUnderSoak
+from standins.deployment import ZONES, PlatformStandins
+from standins.soak.routers import SoakRouter
 
 _ROOT = Path(__file__).resolve().parent.parent
 #: Asks itself to stop as soon as the module that is imported last has been loaded.
@@ -30,7 +30,7 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         for module, takes in (("sys", False), ("winchfork.early_stop", True)):
-            router = RouterUnderSoak(Surroundings(), 1, ZONES[0], Path(folder.name))
+            router = SoakRouter(PlatformStandins(), 1, ZONES[0], Path(folder.name))
             program = f"import {module}, sys; print(flush=True); sys.stdin.read()"
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-c", program, cwd=_ROOT, stdin=PIPE, stdout=PIPE
@@ -38,10 +38,10 @@
             assert process.stdout is not None and process.stdin is not None
             await process.stdout.readline()
             router._process = process
-            self.assertIs(router.takes(signal.SIGTERM), takes)
+            self.assertIs(router.handles_signal(signal.SIGTERM), takes)
             process.stdin.close()
             await process.wait()
-            self.assertTrue(router.takes(signal.SIGTERM))
+            self.assertTrue(router.handles_signal(signal.SIGTERM))
 
 
 class EarlyStopTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_fault_standins.py
+++ b/tests/test_fault_standins.py
@@ -6,7 +6,7 @@
 import json
 import unittest
 
-from standins.answer_faults import SLOWED_S, ReplicaFault
+from standins.answer_faults import SLOW_ANSWER_DELAY_S, ReplicaFault
 from standins.fault_proxy import Fault, FaultProxy
 from standins.http_server import HttpServer, Request, write_answer
 from standins.replica_server import FatalRequest, ReplicaServer
@@ -72,7 +72,7 @@
 
     async def test_those_turned_away_get_503_and_the_target_is_not_asked(self) -> None:
         connection = await self._open()
-        self.proxy.fault = Fault.TURN_AWAY
+        self.proxy.fault = Fault.ANSWER_503
         self.assertEqual((await connection.ask("/turned-away")).status, 503)
         self.proxy.fault = Fault.NONE
         self.assertEqual((await connection.ask("/served")).status, 200)
@@ -81,7 +81,7 @@
     async def test_silent_connections_stay_silent_while_new_ones_work(self) -> None:
         connection = await self._open()
         self.assertEqual((await connection.ask("/before")).status, 200)
-        self.proxy.silence_open()
+        self.proxy.blackhole_open_connections()
         with self.assertRaises(TimeoutError):
             await asyncio.wait_for(connection.ask("/lost"), _SILENCE_S)
         self.assertEqual((await (await self._open()).ask("/new")).status, 200)
@@ -96,7 +96,7 @@
         self.addAsyncCleanup(self.replica.stop)
 
     def _entry(self, replica_id: str) -> dict[str, object] | None:
-        value = self.store.holder(f"servers/{replica_id}")
+        value = self.store.get_text(f"servers/{replica_id}")
         return json.loads(value) if value else None
 
     def _address(self, replica_id: str) -> str:
@@ -145,13 +145,13 @@
         self.assertEqual(await self._order("i-1'", address, 2), 202)
 
     async def test_a_crash_ends_a_load_and_the_version_stays(self) -> None:
-        self.replica.load_s = 0.05
+        self.replica.load_duration_s = 0.05
         self.assertEqual(await self._order("i-1", self._address("i-1"), 2), 202)
         (await self.replica.crash()).lapse()
-        await asyncio.sleep(2 * self.replica.load_s)
+        await asyncio.sleep(2 * self.replica.load_duration_s)
         self.assertIsNone(self._entry("i-1"))
         await self.replica.restart()
-        self.assertEqual(self.replica.version, 1)
+        self.assertEqual(self.replica.weights_version, 1)
 
     async def test_a_replica_that_was_ended_does_not_return(self) -> None:
         entry = await self.replica.crash()
@@ -167,11 +167,11 @@
         self.assertEqual((await connection.ask("/any", headers)).status, 200)
         (begun,) = self.replica.generations
         self.assertEqual((begun.request_id, begun.replica_id, begun.version), ("r-1", "i-1", 1))
-        self.assertLess(begun.arrived_s, begun.began_s)
+        self.assertLess(begun.arrived_at_s, begun.started_at_s)
 
     async def test_a_replica_that_is_started_before_its_time_ends_again(self) -> None:
         """A run of a request that ends replicas stayed for good, and a load waited for it."""
-        self.replica.fatal = FatalRequest(b"fatal", ends_after_s=0.01, back_after_s=60.0)
+        self.replica.fatal_request = FatalRequest(b"fatal", crash_after_s=0.01, restart_after_s=60.0)
         for number in range(2):
             connection = await Connection.open(self._address(self.replica.replica_id))
             self.addCleanup(connection.close)
@@ -180,24 +180,24 @@
                 await connection.ask("/review/x", headers, b"fatal")
             await self.replica.restart()
         self.assertEqual(self.replica.running, 0)
-        self.assertEqual([run.ended_s is None for run in self.replica.fatal_runs], [False, False])
+        self.assertEqual([run.crashed_at_s is None for run in self.replica.fatal_runs], [False, False])
 
     async def test_a_request_arrives_before_a_slow_replica_rests(self) -> None:
-        self.replica.spoiler.set(ReplicaFault.SLOW)
+        self.replica.fault_injector.set_fault(ReplicaFault.SLOW)
         connection = await Connection.open(self._address("i-1"))
         self.addCleanup(connection.close)
-        while not self.replica.spoiler.spoiled:
+        while not self.replica.fault_injector.faulty_answers:
             headers = "X-Request-Id: r-1\r\nX-Token-Usage: 40,2\r\n"
             self.assertEqual((await connection.ask("/any", headers)).status, 200)
         begun = self.replica.generations[-1]
-        self.assertGreater(begun.began_s - begun.arrived_s, SLOWED_S)
+        self.assertGreater(begun.started_at_s - begun.arrived_at_s, SLOW_ANSWER_DELAY_S)
 
     async def test_what_comes_on_a_silent_connection_is_not_run(self) -> None:
         headers = "X-Request-Id: r-1\r\nX-Token-Usage: 40,2\r\n"
         connection = await Connection.open(self._address("i-1"))
         self.addCleanup(connection.close)
         self.assertEqual((await connection.ask("/report")).status, 200)
-        self.replica.silence_open_connections()
+        self.replica.blackhole_open_connections()
         with self.assertRaises(TimeoutError):
             await asyncio.wait_for(connection.ask("/any", headers), _SILENCE_S)
         self.assertEqual(self.replica.ran, [])
@@ -207,10 +207,10 @@
     async def test_it_keeps_when_each_version_was_acknowledged(self) -> None:
         store = StoreServer()
         operator = WeightsOperator(store, _MODEL)
-        self.assertEqual(operator.newest, 0)
-        operator.name(1)
-        operator.name(2)
-        self.assertEqual([item.version for item in operator.named], [1, 2])
-        self.assertLessEqual(operator.named[0].acknowledged_s, operator.named[1].acknowledged_s)
-        value = store.holder(f"op/version/{_MODEL}")
+        self.assertEqual(operator.newest_version, 0)
+        operator.publish(1)
+        operator.publish(2)
+        self.assertEqual([item.version for item in operator.published], [1, 2])
+        self.assertLessEqual(operator.published[0].acknowledged_s, operator.published[1].acknowledged_s)
+        value = store.get_text(f"op/version/{_MODEL}")
         self.assertEqual(json.loads(value or "{}"), {"Model": _MODEL, "Version": 2})
--- a/tests/test_limits_whole.py
+++ b/tests/test_limits_whole.py
@@ -14,7 +14,7 @@
 
 from __future__ import annotations
 
-from standins.limit_promises import CONTACT_S, WINDOW_S, judge_limits, worst_window
+from standins.limit_checks import LIMIT_PROPAGATION_S, WINDOW_S, check_limits, worst_window
 from tests.loopback_case import LoopbackTestCase
 
 
@@ -24,12 +24,12 @@
         await self.send_for(1.0)
         struck = self.models_by_requests()[:replicas]
         for replica in struck:
-            replica.notices.name_limit(per_s)
-        await self.send_for(CONTACT_S + WINDOW_S + 1.0)
+            replica.notices.set_limit(per_s)
+        await self.send_for(LIMIT_PROPAGATION_S + WINDOW_S + 1.0)
         spoken = [(replica.replica_id, replica.notices) for replica in struck]
         for _, notices in spoken:
             self.assertIsNotNone(worst_window(notices, self.senders))
-        self.assertEqual(judge_limits(spoken, self.senders), [])
+        self.assertEqual(check_limits(spoken, self.senders), [])
 
     async def test_two_replicas_get_no_more_than_they_named_and_callers_lose_nothing(self) -> None:
         await self._name(2, per_s=2.0)
--- a/tests/test_lossy_router.py
+++ b/tests/test_lossy_router.py
@@ -7,7 +7,7 @@
 import unittest
 from pathlib import Path
 
-from standins.soak.cut_machines import CutMachines
+from standins.soak.network_partition import NetworkPartition
 from standins.soak.lossy_router import LossyProtocol
 from winchfork.emulator.free_ports import free_port
 
@@ -31,7 +31,7 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         file = Path(folder.name) / "cut-machines"
-        self.cut = CutMachines(file)
+        self.cut = NetworkPartition(file)
         self.machines = [Heard() for _ in range(3)]
         self.addresses = [(f"127.0.0.{number}", 0) for number in (1, 2, 3)]
         loop = asyncio.get_running_loop()
@@ -39,7 +39,7 @@
             ip = self.addresses[number][0]
             self.addresses[number] = (ip, free_port(ip))
             transport, _ = await loop.create_datagram_endpoint(
-                lambda machine=machine: LossyProtocol(machine, CutMachines(file)),  # type: ignore[misc]
+                lambda machine=machine: LossyProtocol(machine, NetworkPartition(file)),  # type: ignore[misc]
                 local_addr=self.addresses[number],
             )
             self.addCleanup(transport.close)
--- a/tests/test_platform_whole.py
+++ b/tests/test_platform_whole.py
@@ -6,7 +6,7 @@
 import unittest
 
 from standins.answer_faults import ReplicaFault
-from standins.fleet import KEY, MODEL, LoopbackDeployment
+from standins.deployment import API_KEY, MODEL, LoopbackDeployment
 from standins.replica_server import ReplicaServer
 from tests.relay_support import ReceivedAnswer, read_answer
 from winchfork.router.settings import RouterSettings
@@ -22,12 +22,12 @@
 
 def _request(request_id: str, tokens_out: int = 0) -> bytes:
     if not tokens_out:
-        return _HEAD.format(path="/roster/x", request_id=request_id, key=KEY, extra="").encode()
+        return _HEAD.format(path="/roster/x", request_id=request_id, key=API_KEY, extra="").encode()
     extra = (
         f"X-Model: {MODEL}\r\nX-Token-Usage: 1460,{tokens_out}\r\n"
         "X-Prefix-Hash: 5c1e07a2:800,91bd3f06:410,e4402b7d:250\r\n"
     )
-    text = _HEAD.format(path="/review/x", request_id=request_id, key=KEY, extra=extra)
+    text = _HEAD.format(path="/review/x", request_id=request_id, key=API_KEY, extra=extra)
     return text.encode()
 
 
@@ -62,13 +62,13 @@
             self.assertEqual(_numbers(stream), list(range(1, 13)))
             command = await _ask(settings, _request(f"command-{number}"))
             self.assertEqual(command.status, 200)
-        ran = [name for replica in self.deployment.applications for name in replica.ran]
+        ran = [name for replica in self.deployment.application_replicas for name in replica.ran]
         self.assertEqual(sorted(ran), ["command-0", "command-1", "command-2"])
 
     async def test_a_torn_stream_goes_on_at_another_replica(self) -> None:
-        self.deployment.allow_repeats()
-        for replica in self.deployment.models:
-            replica.tear_at_event = 5
+        self.deployment.allow_retries()
+        for replica in self.deployment.model_replicas:
+            replica.truncate_at_event = 5
         answer = await _ask(self.deployment.settings[0], _request("torn", tokens_out=9))
         # Two replicas are asked, and both tear: the answer must then look torn.
         self.assertFalse(answer.whole)
@@ -85,8 +85,8 @@
             self.assertIn(first, ran)
 
     async def test_a_stream_torn_while_no_repeat_is_allowed_looks_torn(self) -> None:
-        for replica in self.deployment.models:
-            replica.tear_at_event = 5
+        for replica in self.deployment.model_replicas:
+            replica.truncate_at_event = 5
         answer = await _ask(self.deployment.settings[0], _request("torn", tokens_out=9))
         self.assertFalse(answer.whole)
         self.assertEqual(_numbers(answer), [1, 2, 3, 4])
@@ -98,25 +98,25 @@
         answer = await _ask(self.deployment.settings[0], _request(name, tokens_out=9))
         self.assertTrue(answer.whole)
         (replica,) = self._that_ran(name)
-        for other in self.deployment.models:
-            other.tear_at_event = 0
-        replica.tear_at_event = 5
+        for other in self.deployment.model_replicas:
+            other.truncate_at_event = 0
+        replica.truncate_at_event = 5
         return replica
 
     def _that_ran(self, request_id: str) -> list[ReplicaServer]:
-        return [replica for replica in self.deployment.models if request_id in replica.ran]
+        return [replica for replica in self.deployment.model_replicas if request_id in replica.ran]
 
     async def test_weights_are_rolled_out_while_streams_pass(self) -> None:
         settings = self.deployment.settings
-        self.deployment.name_weights(2)
+        self.deployment.publish_weights(2)
         number = 0
-        while any(replica.version != 2 for replica in self.deployment.models):
+        while any(replica.weights_version != 2 for replica in self.deployment.model_replicas):
             self.assertLess(number, 2000)
             answer = await _ask(settings[number % 3], _request(f"during-{number}", tokens_out=3))
             self.assertIn(answer.status, (200, 503))
             self.assertTrue(answer.whole)
             number += 1
-        fences = {replica.fence for replica in self.deployment.models}
+        fences = {replica.fence for replica in self.deployment.model_replicas}
         self.assertEqual(len(fences), 1)
 
     async def test_a_good_and_a_failing_version_are_told_apart_beside_new_weights(self) -> None:
@@ -142,20 +142,20 @@
         stop = asyncio.Event()
         callers = [asyncio.create_task(self._call(number, stop)) for number in range(12)]
         orders = asyncio.gather(
-            deployment.model_rollouts.roll(models, ROLLOUT_S),
-            deployment.application_rollouts.roll(applications, ROLLOUT_S),
+            deployment.model_rollouts.roll_out(models, ROLLOUT_S),
+            deployment.application_rollouts.roll_out(applications, ROLLOUT_S),
         )
         await asyncio.sleep(1.0)
-        deployment.name_weights(2)
+        deployment.publish_weights(2)
         await asyncio.sleep(0.8)
-        self.left_out = deployment.lose_leader()
+        self.left_out = deployment.crash_leader()
         reports = await orders
         stop.set()
         await asyncio.gather(*callers)
         for report, fault in zip(reports, (models, applications), strict=True):
-            self.assertLess(report.took_s, ROLLOUT_S + 0.5)
+            self.assertLess(report.duration_s, ROLLOUT_S + 0.5)
             if fault is not ReplicaFault.NONE:
-                self.assertLessEqual(report.on_target, 0.1 * report.in_all + 50, report)
+                self.assertLessEqual(report.target_requests, 0.1 * report.total_requests + 50, report)
         return reports[0].state, reports[1].state
 
     async def _call(self, caller: int, stop: asyncio.Event) -> None:
--- a/tests/test_soak_faults.py
+++ b/tests/test_soak_faults.py
@@ -8,14 +8,14 @@
 from collections import Counter
 from pathlib import Path
 
-from standins.fleet import ZONES, Surroundings
+from standins.deployment import ZONES, PlatformStandins
 from standins.replica_server import ReceivedOrder
 from standins.soak.disruptions import DisruptionLog
 from standins.soak.faults import process_faults
 from standins.soak.faults.process_faults import ProcessFaults
-from standins.soak.faults.scene import Scene
+from standins.soak.faults.context import FaultContext
 from standins.soak.lanes import Lane
-from standins.soak.routers import RouterUnderSoak
+from standins.soak.routers import SoakRouter
 from tests.virtual_loop import run_virtually
 
 #: Seconds between two orders of a leader, and until a successor gives its first.
@@ -24,10 +24,10 @@
 WATCH_S = 60.0
 
 
-class FrozenRouter(RouterUnderSoak):
+class FrozenRouter(SoakRouter):
     """A router without a process; notes when it stands still."""
 
-    def __init__(self, surroundings: Surroundings, number: int, zone: str) -> None:
+    def __init__(self, surroundings: PlatformStandins, number: int, zone: str) -> None:
         super().__init__(surroundings, number, zone, Path())
         self.standstills: list[tuple[float, float]] = []
         self._since_s = 0.0
@@ -48,14 +48,14 @@
 class LeaderStandstillsTest(unittest.TestCase):
     def test_a_series_strikes_whoever_gave_the_last_order(self) -> None:
         struck, orders = run_virtually(self._series(leaders=True))
-        self.assertGreaterEqual(len(struck), process_faults.LEAST_IN_SERIES)
-        self.assertLessEqual(len(struck), process_faults.MOST_IN_SERIES)
+        self.assertGreaterEqual(len(struck), process_faults.MIN_STALLS_IN_SERIES)
+        self.assertLessEqual(len(struck), process_faults.MAX_STALLS_IN_SERIES)
         for (from_s, until_s), holder in struck:
-            last = max((order for order in orders if order.at_s <= from_s), key=lambda o: o.at_s)
+            last = max((order for order in orders if order.received_at_s <= from_s), key=lambda o: o.received_at_s)
             self.assertEqual(last.holder, holder)
-            self.assertLess(from_s - last.at_s, ORDER_PERIOD_S)
-            self.assertGreaterEqual(until_s - from_s, process_faults.LEAST_STANDSTILL_S)
-            self.assertLessEqual(until_s - from_s, process_faults.MOST_STANDSTILL_S + 1e-6)
+            self.assertLess(from_s - last.received_at_s, ORDER_PERIOD_S)
+            self.assertGreaterEqual(until_s - from_s, process_faults.MIN_STALL_S)
+            self.assertLessEqual(until_s - from_s, process_faults.MAX_STALL_S + 1e-6)
         holders = [holder for _, holder in struck]
         self.assertTrue(all(one != other for one, other in zip(holders, holders[1:], strict=False)))
 
@@ -66,12 +66,12 @@
     async def _series(
         self, *, leaders: bool
     ) -> tuple[list[tuple[tuple[float, float], str]], list[ReceivedOrder]]:
-        surroundings = Surroundings()
+        surroundings = PlatformStandins()
         routers = [FrozenRouter(surroundings, n, zone) for n, zone in enumerate(ZONES, start=1)]
         loop = asyncio.get_running_loop()
         log = DisruptionLog(3.0, loop.time, lambda line: None)
-        faults = ProcessFaults(Scene(routers, surroundings, log), random.Random(7), [])
-        orders = surroundings.models[0].orders
+        faults = ProcessFaults(FaultContext(routers, surroundings, log), random.Random(7), [])
+        orders = surroundings.model_replicas[0].orders
         leading = asyncio.create_task(self._lead(routers, orders)) if leaders else None
         began_s = loop.time()
         await faults.leader_standstills()
@@ -110,7 +110,7 @@
 
         until_s = loop.time() + 20.0
         counts: Counter[str] = Counter()
-        await Lane("lane", [fault], most_pause_s=1.0).run(random.Random(3), until_s, counts)
+        await Lane("lane", [fault], max_pause_s=1.0).run(random.Random(3), until_s, counts)
         self.assertEqual(counts["fault"], len(spans))
         self.assertGreaterEqual(len(spans), 7)
         for (_, ended_s), (began_s, _) in zip(spans, spans[1:], strict=False):
--- a/tests/test_soak_promises.py
+++ b/tests/test_soak_promises.py
@@ -5,35 +5,35 @@
 import unittest
 
 from standins.answer_faults import ReplicaFault
-from standins.notice_promises import Sender, judge_notices
+from standins.notice_checks import Sender, check_notices
 from standins.replica_server import FatalRun, Generation, ReceivedOrder, ReplicaServer
 from standins.rollout_operator import RolloutReport
 from standins.soak.callers import Reply, StreamReply
-from standins.soak.disruptions import EVERYBODY, STANDSTILL, DisruptionLog
-from standins.soak.fatal_requests import judge_fatal
-from standins.soak.promises import (
-    judge_commands,
-    judge_innocent,
-    judge_orders,
-    judge_rollout,
-    judge_stream,
+from standins.soak.disruptions import ALL_ROUTERS, STALL, DisruptionLog
+from standins.soak.fatal_requests import check_fatal_requests
+from standins.soak.checks import (
+    check_commands,
+    check_unrelated_refusals,
+    check_orders,
+    check_rollout,
+    check_stream,
 )
-from standins.soak.weights_promises import (
+from standins.soak.weights_checks import (
     LateGeneration,
     describe_late,
     late_generations,
-    stragglers,
+    replicas_behind,
 )
-from standins.spoken_notices import Arrival, Backoff, SpokenNotices
+from standins.notice_emitter import Arrival, Backoff, NoticeEmitter
 from standins.store_server import StoreServer
-from standins.weights_operator import NamedWeights
+from standins.weights_operator import PublishedWeights
 
 BOUND_S = 4.0
 CONTACT_S = 3.0
 #: The router that sends every request here, and another one.
 SENDER = 1
 OTHER = 2
-NAMED = (NamedWeights(1, 0.0), NamedWeights(2, 100.0), NamedWeights(3, 101.0))
+NAMED = (PublishedWeights(1, 0.0), PublishedWeights(2, 100.0), PublishedWeights(3, 101.0))
 
 
 class HandClock:
@@ -71,16 +71,16 @@
         self.assertEqual(self.late(3, 200.0), [])
 
     def test_the_time_counts_in_one_stretch_with_a_sound_store_and_sound_links(self) -> None:
-        self.disturb(EVERYBODY, 102.0, 103.0)
+        self.disturb(ALL_ROUTERS, 102.0, 103.0)
         self.assertEqual(self.late(1, 109.99), [])
         self.assertEqual(self.late(1, 110.01), [4.01])
 
     def test_a_disturbance_before_the_naming_gives_nothing(self) -> None:
-        self.disturb(EVERYBODY, 80.0, 90.0)
+        self.disturb(ALL_ROUTERS, 80.0, 90.0)
         self.assertEqual(self.late(1, 104.01), [4.01])
 
     def test_nothing_counts_while_the_store_is_disturbed_and_shortly_after(self) -> None:
-        self.disturb(EVERYBODY, 110.0, 111.0)
+        self.disturb(ALL_ROUTERS, 110.0, 111.0)
         self.assertEqual(self.late(1, 109.9), [9.9])
         self.assertEqual(self.late(1, 110.5), [])
         self.assertEqual(self.late(1, 113.9), [])
@@ -91,7 +91,7 @@
             self.assertEqual(self.late(1, 120.0), [])
 
     def test_a_request_that_was_sent_while_the_store_was_disturbed_does_not_count(self) -> None:
-        self.disturb(EVERYBODY, 90.0, 102.0)
+        self.disturb(ALL_ROUTERS, 90.0, 102.0)
         self.assertEqual(self.late(1, 109.1, arrived_s=104.9), [])
         self.assertEqual(self.late(1, 109.1, arrived_s=105.1), [4.1])
 
@@ -106,13 +106,13 @@
 
     def test_a_reset_excuses_its_router_for_the_contact_time(self) -> None:
         self.clock.now_s = 104.0
-        self.log.note("reset", SENDER)
+        self.log.record_instant("reset", SENDER)
         self.assertEqual(self.late(1, 106.9), [])
         self.assertEqual(self.late(1, 107.1), [7.1])
 
     def test_late_ones_are_told_by_router_replica_and_version(self) -> None:
         begun = [Generation(f"r-{at_s}", "i-1", 1, at_s, at_s) for at_s in (106.0, 105.0)]
-        late = [LateGeneration(item, SENDER, 2, item.began_s - 100.0) for item in begun]
+        late = [LateGeneration(item, SENDER, 2, item.started_at_s - 100.0) for item in begun]
         (line,) = describe_late(late)
         self.assertIn("2 requests of router 1 began on version 1 at i-1, 6.00 s after", line)
         self.assertTrue(line.endswith("the first r-105.0"))
@@ -122,16 +122,16 @@
     async def test_replicas_that_do_not_get_the_version_in_time_are_named(self) -> None:
         store = StoreServer()
         replicas = [ReplicaServer(store, f"i-{number}", "models", "zone", "m") for number in (1, 2)]
-        replicas[0].version = 2
-        self.assertEqual(await stragglers(lambda: replicas, 2, 0.0), [replicas[1]])
-        replicas[1].version = 2
-        self.assertEqual(await stragglers(lambda: replicas, 2, 0.0), [])
+        replicas[0].weights_version = 2
+        self.assertEqual(await replicas_behind(lambda: replicas, 2, 0.0), [replicas[1]])
+        replicas[1].weights_version = 2
+        self.assertEqual(await replicas_behind(lambda: replicas, 2, 0.0), [])
 
 
 class AnswerPromisesTest(unittest.TestCase):
     def test_a_stream_has_each_event_once_and_in_order(self) -> None:
         def broken(body: bytes, *, whole: bool) -> int:
-            return len(judge_stream(StreamReply("s", 2, Reply(200, body, whole))))
+            return len(check_stream(StreamReply("s", 2, Reply(200, body, whole))))
 
         whole = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
         self.assertEqual(broken(whole, whole=True), 0)
@@ -146,7 +146,7 @@
 
         def broken(status: int, runs: int) -> int:
             replica.ran = ["c"] * runs
-            return len(judge_commands({"c": Reply(status, b"", True)}, [replica]))
+            return len(check_commands({"c": Reply(status, b"", True)}, [replica]))
 
         self.assertEqual([broken(200, 1), broken(503, 0), broken(504, 1), broken(0, 1)], [0] * 4)
         self.assertEqual([broken(200, 0), broken(503, 1), broken(504, 2)], [1] * 3)
@@ -157,7 +157,7 @@
 
         def broken(*orders: ReceivedOrder) -> int:
             replica.orders = list(orders)
-            return len(judge_orders([replica]))
+            return len(check_orders([replica]))
 
         first = ReceivedOrder(10.0, "a", 5)
         self.assertEqual(broken(first, ReceivedOrder(10.5, "a", 5)), 0)
@@ -169,7 +169,7 @@
 class RolloutPromisesTest(unittest.TestCase):
     def broken(self, fault: ReplicaFault, state: str, on_target: int = 10) -> int:
         report = RolloutReport("models", "v2", state, 8.0, on_target, 100, on_target // 2)
-        return len(judge_rollout(report, fault))
+        return len(check_rollout(report, fault))
 
     def test_a_bad_version_is_not_put_in_force_and_stays_within_its_budget(self) -> None:
         for fault in (ReplicaFault.FAILS, ReplicaFault.SLOW):
@@ -200,7 +200,7 @@
         replica = ReplicaServer(StoreServer(), "i-1", "models", "z")
         replica.fatal_runs = list(runs)
         senders = {run.request_id: Sender(SENDER) for run in runs}
-        return judge_fatal([replica], senders, self.log, CONTACT_S)
+        return check_fatal_requests([replica], senders, self.log, CONTACT_S)
 
     def runs(self, *began_s: float) -> list[FatalRun]:
         return [FatalRun(b"fatal", f"r{at_s}", at_s, at_s + 0.1) for at_s in began_s]
@@ -215,7 +215,7 @@
         self.assertEqual(self.judge(*self.runs(1.0, 2.0, 3.0), *early), [])
 
     def test_a_disturbed_sender_and_a_disturbed_store_are_excused(self) -> None:
-        for router in (SENDER, EVERYBODY):
+        for router in (SENDER, ALL_ROUTERS):
             with self.subTest(router=router):
                 self.setUp()
                 self.clock.now_s = 9.0
@@ -226,8 +226,8 @@
 
     def test_an_innocent_request_that_is_refused_is_told(self) -> None:
         refused = Reply(500, b'{"code": "ends_replicas"}', True)
-        self.assertEqual(judge_innocent([Reply(500, b"spoiled", True)]), [])
-        self.assertEqual(len(judge_innocent([refused, refused])), 1)
+        self.assertEqual(check_unrelated_refusals([Reply(500, b"spoiled", True)]), [])
+        self.assertEqual(len(check_unrelated_refusals([refused, refused])), 1)
 
 
 class NoticePromisesTest(unittest.TestCase):
@@ -236,7 +236,7 @@
     def setUp(self) -> None:
         self.now_s = 0.0
         self.log = DisruptionLog(CONTACT_S, lambda: self.now_s, lambda line: None)
-        self.notices = SpokenNotices()
+        self.notices = NoticeEmitter()
         self.senders: dict[str, Sender] = {}
 
     def arrive(self, at_s: float, router: int = SENDER) -> Arrival:
@@ -247,15 +247,15 @@
 
     def stand_still(self, from_s: float, until_s: float) -> None:
         self.now_s = from_s
-        with self.log.during(STANDSTILL, SENDER):
+        with self.log.during(STALL, SENDER):
             self.now_s = until_s
 
     def broken(self) -> int:
         spoken = [("i-1", self.notices)]
-        return len(judge_notices(spoken, self.senders, self.log.struck_between))
+        return len(check_notices(spoken, self.senders, self.log.process_disturbed_between))
 
     def test_a_request_over_two_seconds_after_the_word(self) -> None:
-        self.notices.left.append(self.arrive(10.0))
+        self.notices.draining_answers.append(self.arrive(10.0))
         self.arrive(11.9)
         self.arrive(20.0, router=SENDER + 1)
         self.assertEqual(self.broken(), 0)
@@ -264,7 +264,7 @@
 
     def test_a_standstill_since_the_word_excuses_and_one_before_does_not(self) -> None:
         self.stand_still(8.0, 9.0)
-        self.notices.left.append(self.arrive(10.0))
+        self.notices.draining_answers.append(self.arrive(10.0))
         self.arrive(13.0)
         self.assertEqual(self.broken(), 1)
         self.stand_still(11.0, 12.0)
--- a/tests/test_store_copies_whole.py
+++ b/tests/test_store_copies_whole.py
@@ -26,13 +26,13 @@
         await asyncio.sleep(COPY_AGE_S / 2)
         for number in range(LOST_CHANGES):
             store.put("operators/note", number)
-        self.deployment.add_key(EARLIER_KEY)
-        for replica in self.deployment.models:
+        self.deployment.add_api_key(EARLIER_KEY)
+        for replica in self.deployment.model_replicas:
             replica.announce("ready")
         await asyncio.sleep(COPY_AGE_S / 2)
         store.down = True
         await asyncio.sleep(AWAY_S)
-        store.come_back_from(copy)
+        store.restore(copy)
         store.down = False
         await sending
 
@@ -46,14 +46,14 @@
         await self._lose()
         deployment = self.deployment
         leaving = self.models_by_requests()[0]
-        deployment.add_key(NEW_KEY)
+        deployment.add_api_key(NEW_KEY)
         leaving.announce("draining")
-        deployment.name_weights(2)
+        deployment.publish_weights(2)
         await asyncio.sleep(KNOWN_WITHIN_S)
         self.assertEqual(self._know_key(), [True] * self.routers)
         before = len(leaving.notices.arrivals)
         await self.send_for(6.0)
         self.assertEqual(len(leaving.notices.arrivals), before)
-        held = {model.version for model in deployment.models if model is not leaving}
+        held = {model.weights_version for model in deployment.model_replicas if model is not leaving}
         self.assertEqual(held, {2})
         self.assertEqual(set(self.statuses), {200})
--- a/tests/test_suspended_clock.py
+++ b/tests/test_suspended_clock.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from unittest import mock
 
-from standins.soak.suspended_clock import SuspendedTime, leave_out_suspensions
+from standins.soak.suspended_clock import SuspendedTime, exclude_suspensions
 from winchfork.boot_clock import boot_seconds
 
 SUSPENDED_S = 1000.0
@@ -24,7 +24,7 @@
             patched = mock.patch.object(time, name, getattr(time, name))
             patched.start()
             self.addCleanup(patched.stop)
-        leave_out_suspensions(SuspendedTime(self.file))
+        exclude_suspensions(SuspendedTime(self.file))
 
     def test_the_steady_clock_does_not_count_a_suspension_and_the_boot_clock_does(self) -> None:
         steady_s, boot_s = time.monotonic(), boot_seconds()
