--- a/benchmarks/commands_under_failure.py
+++ b/benchmarks/commands_under_failure.py
@@ -138,9 +138,15 @@
     for application in emulated.applications:
         executions.update(application.executions())
     doubled = [order for order, count in executions.items() if count > 1]
-    untrue = [order for order, told in run.outcome_by_order.items() if told == "not_run" and executions[order]]
+    untrue = [
+        order
+        for order, told in run.outcome_by_order.items()
+        if told == "not_run" and executions[order]
+    ]
     lost = [
-        order for order, told in run.outcome_by_order.items() if told == "answered" and not executions[order]
+        order
+        for order, told in run.outcome_by_order.items()
+        if told == "answered" and not executions[order]
     ]
     total = sum(run.outcomes.values())
     print(f"commands {total}, daemon crashes {run.crashes}, outcomes {dict(run.outcomes)}")
--- a/benchmarks/crashing_requests.py
+++ b/benchmarks/crashing_requests.py
@@ -74,7 +74,9 @@
         self._now_s = 0.0
         self._numbers = itertools.count()
         self._due: list[tuple[float, int, Callable[[], None]]] = []
-        self.trackers = [CrashTracker(f"n{number}", lambda: self._now_s) for number in range(DAEMONS)]
+        self.trackers = [
+            CrashTracker(f"n{number}", lambda: self._now_s) for number in range(DAEMONS)
+        ]
         self._replicas = [self._start(number) for number in range(REPLICAS)]
         self._running: list[Run] = []
         #: Replicas ended by each fatal body, and what became of innocent requests.
@@ -95,7 +97,9 @@
         def tell_run(digest: bytes, run: SuspectRun | None) -> None:
             tell(lambda other: other.handle_suspect_run(name, digest, run))
 
-        guard.on_crash = lambda inc, digests: tell(lambda other: other.handle_crash_report(inc, digests))
+        guard.on_crash = lambda inc, digests: tell(
+            lambda other: other.handle_crash_report(inc, digests)
+        )
         guard.on_suspect_run = tell_run
         guard.on_cleared = lambda digest, ends: tell(lambda other: other.handle_cleared(digest))
 
@@ -188,7 +192,8 @@
         for daemon in {other.daemon for other in broken}:
             guard = self.trackers[daemon]
             self._after(
-                CRASH_DETECTION_S, functools.partial(guard.record_crash, replica, CrashEvidence.PORT_CLOSED)
+                CRASH_DETECTION_S,
+                functools.partial(guard.record_crash, replica, CrashEvidence.PORT_CLOSED),
             )
         self._after(RESTART_S, lambda: self._return(number))
 
@@ -214,7 +219,9 @@
         self.innocent["held"] += request.was_held and outcome == "served"
 
 
-def simulate(seed: int, bodies_per_minute: float, *, guarded: bool, seconds: float = 120.0) -> Fleet:
+def simulate(
+    seed: int, bodies_per_minute: float, *, guarded: bool, seconds: float = 120.0
+) -> Fleet:
     """Return a fleet after some time of requests."""
     fleet = Fleet(seed, bodies_per_minute, guarded=guarded)
     fleet.simulate(seconds)
--- a/benchmarks/replica_limits.py
+++ b/benchmarks/replica_limits.py
@@ -112,7 +112,9 @@
         share = f"used {used / places:.2f}" if places else f"sent {used} in 10 s"
         before = max(counts[second] for second in range(1, int(NAMED_FROM_S)))
         after = max(counts[second] for second in range(int(NAMED_UNTIL_S), int(SECONDS)))
-        fates = ", ".join(f"{fate} {count}" for fate, count in sorted(self._callers.outcomes.items()))
+        fates = ", ".join(
+            f"{fate} {count}" for fate, count in sorted(self._callers.outcomes.items())
+        )
         return f"{told}, {share}, most in a second {before} before, {after} after; {fates}"
 
     def _arrivals_by_second(self) -> Counter[int]:
@@ -133,7 +135,9 @@
     arguments = parser.parse_args()
     configure_logs("error")
     for name in arguments.play or SCENARIOS:
-        line = asyncio.run(LimitScenarioRun(SCENARIOS[name], arguments.seed, arguments.routers).run())
+        line = asyncio.run(
+            LimitScenarioRun(SCENARIOS[name], arguments.seed, arguments.routers).run()
+        )
         print(f"{name} seed={arguments.seed}: {line}", flush=True)
 
 
--- a/benchmarks/replica_notices.py
+++ b/benchmarks/replica_notices.py
@@ -89,7 +89,9 @@
         for item in self._struck:
             rests.update(reached_during_backoff(item.notices, self._callers.senders))
         away = sum(len(item.notices.backoffs) for item in self._struck)
-        fates = ", ".join(f"{fate} {count}" for fate, count in sorted(self._callers.outcomes.items()))
+        fates = ", ".join(
+            f"{fate} {count}" for fate, count in sorted(self._callers.outcomes.items())
+        )
         worst = max(rests.values(), default=0)
         return f"sent to a leaving one {late}, turned away {away}, worst in a rest {worst}; {fates}"
 
@@ -103,7 +105,9 @@
     arguments = parser.parse_args()
     configure_logs("error")
     for name in arguments.play or SCENARIOS:
-        line = asyncio.run(NoticeScenarioRun(SCENARIOS[name], arguments.seed, arguments.routers).run())
+        line = asyncio.run(
+            NoticeScenarioRun(SCENARIOS[name], arguments.seed, arguments.routers).run()
+        )
         print(f"{name} seed={arguments.seed} routers={arguments.routers}: {line}", flush=True)
 
 
--- a/benchmarks/store_copies.py
+++ b/benchmarks/store_copies.py
@@ -159,13 +159,19 @@
             item for item in self._leaving.notices.arrivals if item.at_s > self._left_s + DRAIN_S
         ]
         bound_s = self._deployment.weights_timing.version_bound_s
-        begun = [item for model in self._deployment.all_model_replicas for item in model.generations]
+        begun = [
+            item for model in self._deployment.all_model_replicas for item in model.generations
+        ]
         old = [
-            item for item in begun if item.version < 2 and item.started_at_s > self._named_s + bound_s
+            item
+            for item in begun
+            if item.version < 2 and item.started_at_s > self._named_s + bound_s
         ]
         last = f" (last {max(self._key_s):.2f} s)" if self._key_s else ""
         key = f"key taken by {len(self._key_s)} of {len(self._deployment.routers)}{last}"
-        fates = ", ".join(f"{fate} {count}" for fate, count in sorted(self._callers.outcomes.items()))
+        fates = ", ".join(
+            f"{fate} {count}" for fate, count in sorted(self._callers.outcomes.items())
+        )
         return (
             f"{key}, sent late {len(late)}, on old weights {len(old)}, without a leader "
             f"{self._without_leader_s:.1f} s; {fates}"
@@ -181,7 +187,9 @@
     arguments = parser.parse_args()
     configure_logs("error")
     for name in arguments.play or SCENARIOS:
-        line = asyncio.run(CopyScenarioRun(SCENARIOS[name], arguments.seed, arguments.routers).run())
+        line = asyncio.run(
+            CopyScenarioRun(SCENARIOS[name], arguments.seed, arguments.routers).run()
+        )
         print(f"{name} routers={arguments.routers} seed={arguments.seed}: {line}", flush=True)
 
 
--- a/spec/claim_spec.py
+++ b/spec/claim_spec.py
@@ -97,7 +97,9 @@
         if self._rules.failures and phase in (Phase.GATHERING, Phase.WON):
             steps.append((f"crash({name})", _with_phase(state, attempt, Phase.CRASHED)))
         late = not self._rules.given_up_never_dispatches and phase is Phase.GIVEN_UP
-        if phase is Phase.WON or (late and _received_grants(state, attempt) >= self._rules.majority):
+        if phase is Phase.WON or (
+            late and _received_grants(state, attempt) >= self._rules.majority
+        ):
             steps.append((f"dispatch({name})", _with_phase(state, attempt, Phase.DISPATCHED)))
         if phase is Phase.WON:
             steps.append((f"abandon({name})", self._abandon(state, attempt)))
@@ -146,10 +148,15 @@
                 granted = _with_value(_with_value(voter, 0, attempt), 5 + attempt, Reply.SENT)
                 steps.append((f"vote(v{number},{name})", _with_voter(state, number, granted)))
             if vote not in (NO_VOTE, attempt) and outcome and phase is Phase.GATHERING:
-                steps.append((f"replay(v{number},{name})", _with_phase(state, attempt, Phase.REPLAYED)))
+                steps.append(
+                    (f"replay(v{number},{name})", _with_phase(state, attempt, Phase.REPLAYED))
+                )
             if voter[5 + attempt] == Reply.SENT:
                 heard = _with_voter(state, number, _with_value(voter, 5 + attempt, Reply.RECEIVED))
-                won = phase is Phase.GATHERING and _received_grants(heard, attempt) >= self._rules.majority
+                won = (
+                    phase is Phase.GATHERING
+                    and _received_grants(heard, attempt) >= self._rules.majority
+                )
                 after = _with_phase(heard, attempt, Phase.WON) if won else heard
                 steps.append((f"hear(v{number},{name})", after))
             if phase is Phase.GIVEN_UP and not voter[3 + attempt]:
--- a/spec/panel_spec.py
+++ b/spec/panel_spec.py
@@ -124,7 +124,9 @@
             heard: Voter = (
                 asking[0], certified, asking[2], asking[3], asking[4], seen, vouchers, asking[7],
             )  # fmt: skip
-            steps.append((f"hear_vouch(v{subject} of v{voucher})", _with_voter(state, subject, heard)))
+            steps.append(
+                (f"hear_vouch(v{subject} of v{voucher})", _with_voter(state, subject, heard))
+            )
         return steps
 
     def _is_sealed(self, state: State) -> bool:
--- a/spec/relay_spec.py
+++ b/spec/relay_spec.py
@@ -151,7 +151,9 @@
             continue
         gone = {f"{slot}_base": NONE, f"{slot}_at": NONE}
         steps.append((f"lose({base}..{at})", _with(now, **gone)))
-        steps.append((f"take({base}..{at})", _with(now, **gone, **_apply_update(rules, now, base, at))))
+        steps.append(
+            (f"take({base}..{at})", _with(now, **gone, **_apply_update(rules, now, base, at)))
+        )
     return steps
 
 
--- a/standins/limit_checks.py
+++ b/standins/limit_checks.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from standins.notice_checks import IsExcused, Sender, never_excused
-from standins.notice_emitter import Arrival, AnnouncedLimit, NoticeEmitter
+from standins.notice_emitter import AnnouncedLimit, Arrival, NoticeEmitter
 
 #: Seconds over which requests are counted.
 WINDOW_S = 4.0
--- a/standins/replica_server.py
+++ b/standins/replica_server.py
@@ -238,7 +238,9 @@
         self.running += 1
         self.ran.append(request.headers["x-request-id"])
         try:
-            if self.fatal_request is not None and request.body.startswith(self.fatal_request.body_prefix):
+            if self.fatal_request is not None and request.body.startswith(
+                self.fatal_request.body_prefix
+            ):
                 return await self._crash_under(self.fatal_request, request)
             spoiled = self.fault_injector.draw_fault()
             if spoiled is ReplicaFault.FAILS:
@@ -297,7 +299,12 @@
         self.generations.append(begun)
         lines = ["HTTP/1.1 200 OK", "Content-Type: text/event-stream"]
         lines += [f"{name}: {value}" for name, value in self._answer_headers(request).items()]
-        lines += [f"X-Weight-Versions: {self.weights_version}", "Transfer-Encoding: chunked", "", ""]
+        lines += [
+            f"X-Weight-Versions: {self.weights_version}",
+            "Transfer-Encoding: chunked",
+            "",
+            "",
+        ]
         writer.write("\r\n".join(lines).encode())
         tear_at, self.truncate_at_event = self.truncate_at_event, 0
         first = int(request.headers.get("last-event-id", "0")) + 1
--- a/standins/soak/callers.py
+++ b/standins/soak/callers.py
@@ -109,7 +109,9 @@
     )
 
 
-async def send_request(address: str, path: str, request_id: str, extra: str, body: bytes = b"body") -> Reply:
+async def send_request(
+    address: str, path: str, request_id: str, extra: str, body: bytes = b"body"
+) -> Reply:
     """Send one request on a connection of its own; return what came back, if anything."""
     host, _, port = address.rpartition(":")
     message = (
--- a/standins/soak/checks.py
+++ b/standins/soak/checks.py
@@ -66,7 +66,10 @@
         for order in replica.orders:
             if holders.setdefault(order.fence, order.holder) != order.holder:
                 broken.append(f"fence {order.fence} has two holders")
-            if order.holder != last.holder and order.received_at_s - last.received_at_s < LEASE_BOUND_S:
+            if (
+                order.holder != last.holder
+                and order.received_at_s - last.received_at_s < LEASE_BOUND_S
+            ):
                 broken.append(f"{last.holder} and {order.holder} took turns within the lease bound")
             last = order
     return broken
@@ -80,7 +83,9 @@
         broken.append(f"{name}: the status was never final")
     if fault not in _IMMEDIATE_FAULTS:
         return broken
-    spoiled = f"({fault.value}: {report.faulty_answers} of {report.target_requests} answers spoiled)"
+    spoiled = (
+        f"({fault.value}: {report.faulty_answers} of {report.target_requests} answers spoiled)"
+    )
     if report.state == "completed":
         broken.append(f"{name} is bad and was put in force {spoiled}")
     if report.target_requests > EXPOSURE_SHARE * report.total_requests + EXPOSURE_SLACK:
--- a/standins/soak/faults/peer_faults.py
+++ b/standins/soak/faults/peer_faults.py
@@ -6,9 +6,9 @@
 import random
 
 from standins.fault_proxy import Fault
-from standins.soak.network_partition import NetworkPartition
 from standins.soak.disruptions import ALL_ROUTERS
 from standins.soak.faults.context import FaultContext
+from standins.soak.network_partition import NetworkPartition
 from standins.soak.routers import SoakRouter
 
 MIN_FAULT_S, MAX_FAULT_S = 1.0, 6.0
@@ -17,7 +17,9 @@
 class PeerFaults:
     """Cuts one machine at a time off from the others."""
 
-    def __init__(self, context: FaultContext, generator: random.Random, partition: NetworkPartition) -> None:
+    def __init__(
+        self, context: FaultContext, generator: random.Random, partition: NetworkPartition
+    ) -> None:
         self._context = context
         self._random = generator
         self._partition = partition
@@ -39,7 +41,9 @@
             return
         router = self._random.choice(free)
         async with router.link_fault:
-            with self._context.disruptions.during(f"zone of router {router.number} cut", ALL_ROUTERS):
+            with self._context.disruptions.during(
+                f"zone of router {router.number} cut", ALL_ROUTERS
+            ):
                 router.proxy.fault = Fault.STALL
                 await self._isolate(router)
                 router.proxy.fault = Fault.NONE
--- a/standins/soak/faults/process_faults.py
+++ b/standins/soak/faults/process_faults.py
@@ -22,7 +22,9 @@
 class ProcessFaults:
     """Strikes one router process at a time, or one leader after the other."""
 
-    def __init__(self, context: FaultContext, generator: random.Random, violations: list[str]) -> None:
+    def __init__(
+        self, context: FaultContext, generator: random.Random, violations: list[str]
+    ) -> None:
         self._context = context
         self._random = generator
         self._violations = violations
@@ -98,7 +100,9 @@
         return None
 
     def _last_order(self) -> ReceivedOrder | None:
-        last = [item.orders[-1] for item in self._context.platform.all_model_replicas if item.orders]
+        last = [
+            item.orders[-1] for item in self._context.platform.all_model_replicas if item.orders
+        ]
         return max(last, key=lambda order: order.received_at_s, default=None)
 
     def _holder(self, order: ReceivedOrder | None) -> SoakRouter | None:
--- a/standins/soak/lossy_router.py
+++ b/standins/soak/lossy_router.py
@@ -14,7 +14,11 @@
 
 import winchfork.early_stop  # noqa: F401 - before the slow imports
 from standins.soak.network_partition import PARTITION_FILE_VARIABLE, NetworkPartition
-from standins.soak.suspended_clock import SUSPENDED_FILE_VARIABLE, SuspendedTime, exclude_suspensions
+from standins.soak.suspended_clock import (
+    SUSPENDED_FILE_VARIABLE,
+    SuspendedTime,
+    exclude_suspensions,
+)
 from winchfork.platform.__main__ import main
 from winchfork.router.boot_clock import BootClockLoop
 
--- a/standins/soak/operators.py
+++ b/standins/soak/operators.py
@@ -57,9 +57,7 @@
 
     async def _order_software(self, name: str, operator: RolloutOperator) -> None:
         generator = random.Random(f"{self._seed}/software/{name}")
-        while await self._pause(
-            generator.uniform(MIN_ROLLOUT_INTERVAL_S, MAX_ROLLOUT_INTERVAL_S)
-        ):
+        while await self._pause(generator.uniform(MIN_ROLLOUT_INTERVAL_S, MAX_ROLLOUT_INTERVAL_S)):
             fault = generator.choice((ReplicaFault.NONE, ReplicaFault.FAILS, ReplicaFault.SLOW))
             report = await operator.roll_out(fault, ROLLOUT_DURATION_S)
             self.outcomes[f"software {fault.value} {report.state or 'unsaid'}"] += 1
--- a/standins/soak/routers.py
+++ b/standins/soak/routers.py
@@ -9,8 +9,8 @@
 import sys
 from pathlib import Path
 
-from standins.fault_proxy import FaultProxy
 from standins.deployment import PlatformStandins, node_id
+from standins.fault_proxy import FaultProxy
 from standins.soak.network_partition import PARTITION_FILE_NAME, PARTITION_FILE_VARIABLE
 from standins.soak.suspended_clock import SUSPENDED_FILE_VARIABLE, SuspendedTime
 
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -13,18 +13,23 @@
 from standins.limit_checks import check_limits
 from standins.notice_checks import check_notices
 from standins.soak.callers import Callers
-from standins.soak.network_partition import PARTITION_FILE_NAME, NetworkPartition
+from standins.soak.checks import (
+    check_commands,
+    check_orders,
+    check_stream,
+    check_unrelated_refusals,
+)
 from standins.soak.disruptions import DisruptionLog
 from standins.soak.fatal_requests import FatalCallers, check_fatal_requests, prepare_replicas
+from standins.soak.faults.context import FaultContext
 from standins.soak.faults.foreign_entries import ForeignEntries
 from standins.soak.faults.peer_faults import PeerFaults
 from standins.soak.faults.process_faults import ProcessFaults
 from standins.soak.faults.replica_faults import ReplicaFaults
-from standins.soak.faults.context import FaultContext
 from standins.soak.faults.store_faults import StoreFaults
 from standins.soak.lanes import Lane
+from standins.soak.network_partition import PARTITION_FILE_NAME, NetworkPartition
 from standins.soak.operators import Operators
-from standins.soak.checks import check_commands, check_unrelated_refusals, check_orders, check_stream
 from standins.soak.routers import SoakRouter
 from standins.soak.weights_checks import (
     FINAL_BOUND_FACTOR,
@@ -131,7 +136,9 @@
         limits = ReplicaFaults(self._platform, self._generator("limits"), self._log_line)
         entries = ForeignEntries(self._platform.store, self._generator("entries"), self._log_line)
         peers = PeerFaults(
-            scene, self._generator("peers struck"), NetworkPartition(self._folder / PARTITION_FILE_NAME)
+            scene,
+            self._generator("peers struck"),
+            NetworkPartition(self._folder / PARTITION_FILE_NAME),
         )
         delay_s = self._seconds * STORE_DELAY_SHARE
         return [
@@ -197,8 +204,8 @@
         in_force = self._platform.model_rollouts
         for replica in await replicas_behind(lambda: in_force.replicas, version, within_s):
             self.violations.append(
-                f"VERSION: {replica.replica_id} holds version {replica.weights_version} {within_s:.0f} s "
-                f"after version {version}, once healed"
+                f"VERSION: {replica.replica_id} holds version {replica.weights_version} "
+                f"{within_s:.0f} s after version {version}, once healed"
             )
 
     def _check_guarantees(self, disruptions: DisruptionLog) -> None:
@@ -210,8 +217,12 @@
         replies = [*callers.commands.values(), *(stream.reply for stream in callers.streams)]
         self.violations += check_unrelated_refusals(replies)
         models = surroundings.all_model_replicas
-        self.violations += check_fatal_requests(models, self._fatal_callers.senders, disruptions, CONTACT_S)
-        generations = [begun for item in surroundings.all_model_replicas for begun in item.generations]
+        self.violations += check_fatal_requests(
+            models, self._fatal_callers.senders, disruptions, CONTACT_S
+        )
+        generations = [
+            begun for item in surroundings.all_model_replicas for begun in item.generations
+        ]
         bound_s = WEIGHTS_TIMING.version_bound_s
         named = surroundings.weights_operator.published
         senders = callers.senders | self._fatal_callers.senders
@@ -224,7 +235,9 @@
 
         def excused(router: int, from_s: float, until_s: float) -> bool:
             is_earlier_build = from_s < upgraded_s[router]
-            return is_earlier_build or disruptions.process_disturbed_between(router, from_s, until_s)
+            return is_earlier_build or disruptions.process_disturbed_between(
+                router, from_s, until_s
+            )
 
         self.violations += check_notices(spoken, senders, excused)
         self.violations += check_limits(spoken, senders, excused)
--- a/standins/store_server.py
+++ b/standins/store_server.py
@@ -117,12 +117,16 @@
     def _rewrite_lost_entries(self, lost: dict[str, dict[str, Any]]) -> None:
         for key, before in sorted(lost.items()):
             now = self._items.get(key)
-            if key.startswith(_REWRITTEN_PREFIXES) and (now is None or now["Value"] != before["Value"]):
+            if key.startswith(_REWRITTEN_PREFIXES) and (
+                now is None or now["Value"] != before["Value"]
+            ):
                 self.put(key, base64.b64decode(before["Value"]))
         loop = asyncio.get_running_loop()
         for key in self._items.keys() - lost.keys():
             if key.startswith(_REWRITTEN_PREFIXES):
-                loop.call_later(RESTORED_ENTRY_LAPSE_S, self._lapse, key, self._items[key]["Revision"], self.era)
+                loop.call_later(
+                    RESTORED_ENTRY_LAPSE_S, self._lapse, key, self._items[key]["Revision"], self.era
+                )
 
     def _lapse(self, key: str, revision: int, era: int) -> None:
         """Remove an entry that nobody has written since the store's return."""
--- a/tests/fuzz_machines.py
+++ b/tests/fuzz_machines.py
@@ -13,7 +13,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from winchfork.backends.engine_port import StreamPiece
-from winchfork.core.admission import AdmissionLimits, AdmissionQueue, Ticket, AdmissionOutcome
+from winchfork.core.admission import AdmissionLimits, AdmissionOutcome, AdmissionQueue, Ticket
 from winchfork.core.cache_index import CacheEvent, CacheIndex, EventKind
 from winchfork.core.claims import (
     Claim,
@@ -175,7 +175,9 @@
             if claim.recorded_outcome is None:
                 self._answer_caller(attempt, None, failure.ran)
 
-    def _answer_caller(self, attempt: _Attempt, outcome: bytes | None, ran: RunState | None) -> None:
+    def _answer_caller(
+        self, attempt: _Attempt, outcome: bytes | None, ran: RunState | None
+    ) -> None:
         command = attempt.command
         if command.awaited_attempt is not attempt:
             return
--- a/tests/large_fleet.py
+++ b/tests/large_fleet.py
@@ -46,7 +46,10 @@
         return [daemon for daemon in self.daemons if not daemon.peers.view.is_hub]
 
     def versions(self, daemons: list[Daemon]) -> set[int]:
-        return {daemon.state.routing_table.version if daemon.state.routing_table else 0 for daemon in daemons}
+        return {
+            daemon.state.routing_table.version if daemon.state.routing_table else 0
+            for daemon in daemons
+        }
 
     async def oldest_proof_s(self, versions: range, daemons: list[Daemon]) -> float:
         """Put a configuration a second; return the greatest age of a proof that was seen."""
--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -21,7 +21,9 @@
 
 def install_limited_replica(daemon: Daemon, started_at_ms: int = 0) -> None:
     """List the replica to a daemon."""
-    listing = ReplicaListing(REPLICA, "s", "a:2", "z1", 8, True, {"m": 1}, started_at_ms=started_at_ms)
+    listing = ReplicaListing(
+        REPLICA, "s", "a:2", "z1", 8, True, {"m": 1}, started_at_ms=started_at_ms
+    )
     daemon.state.install_listing(listing)
 
 
--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -193,7 +193,9 @@
             [self.generator.randrange(count) for _ in range(CALLERS)] for _ in self._limits
         ]
 
-    async def run(self, seconds: float, faults: Callable[[QuotaScenario], object]) -> ScenarioResult:
+    async def run(
+        self, seconds: float, faults: Callable[[QuotaScenario], object]
+    ) -> ScenarioResult:
         """Play traffic for some seconds; ``faults`` schedules what goes wrong."""
         faults(self)
         before = self.sharing.sent_bytes()
@@ -312,7 +314,9 @@
     loss: float = 0.01,
     seconds: float = 14.0,
     delay_s: float = 0.002,
-    make_sharing: Callable[[int, Sequence[TenantLimit], float, int, float], QuotaSharing] = DaemonQuotaSharing,
+    make_sharing: Callable[
+        [int, Sequence[TenantLimit], float, int, float], QuotaSharing
+    ] = DaemonQuotaSharing,
 ) -> ScenarioResult:
     """Play one scenario in virtual time."""
 
--- a/tests/store_restore_fleet.py
+++ b/tests/store_restore_fleet.py
@@ -110,7 +110,9 @@
         return (daemon for daemon in self.daemons if daemon.leadership.may_act())
 
 
-def run_in_store_restore_fleet(count: int, scenario: Callable[[StoreRestoreFleet], Awaitable[Any]]) -> None:
+def run_in_store_restore_fleet(
+    count: int, scenario: Callable[[StoreRestoreFleet], Awaitable[Any]]
+) -> None:
     """Play a scenario with daemons that have settled."""
 
     async def main() -> None:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from winchfork.core.admission import AdmissionLimits, AdmissionQueue, Ticket, AdmissionOutcome
+from winchfork.core.admission import AdmissionLimits, AdmissionOutcome, AdmissionQueue, Ticket
 
 
 def _ticket(name: str, *, may_wait: bool, patience_s: float = 100.0) -> Ticket:
--- a/tests/test_crash_fleet.py
+++ b/tests/test_crash_fleet.py
@@ -14,7 +14,7 @@
 from winchfork.core.crash_history import CRASHES_TO_REFUSE
 from winchfork.core.relay_replica import RelayReplica, ReplicaListing
 from winchfork.core.request_digest import request_digest
-from winchfork.router.refusal_records import BUCKETS, is_refusal_key, bucket_key
+from winchfork.router.refusal_records import BUCKETS, bucket_key, is_refusal_key
 from winchfork.router.refusal_writer import RefusalWriter
 
 
@@ -219,7 +219,9 @@
             successors = Fleet(store, 2, first=10)
             await asyncio.sleep(1.0)
             daemons = [*fleet.daemons, *successors.daemons]
-            self.assertEqual([daemon.state.crashes.crash_count(DIGEST) for daemon in daemons], [0] * 5)
+            self.assertEqual(
+                [daemon.state.crashes.crash_count(DIGEST) for daemon in daemons], [0] * 5
+            )
             successors.kill()
 
         among(3, scenario)
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -8,8 +8,8 @@
 
 from tests.relay_case import RelayTestCase
 from tests.relay_support import (
-    ScriptedReplica,
     ReceivedRequest,
+    ScriptedReplica,
     answering,
     never_answering,
     resetting,
@@ -21,7 +21,7 @@
 from winchfork.core.request_digest import request_digest
 from winchfork.core.routing import RouteKind
 from winchfork.core.suspect_runs import SuspectRun
-from winchfork.router import crash_tracker as crash_guard
+from winchfork.router import crash_tracker
 
 #: The digest of what :meth:`RelayUnderTest.ask` sends by default.
 ASKED = request_digest("school", b"GET", "a.example", b"/p/x?q=1", b"")
@@ -100,8 +100,10 @@
             crashes.on_connection_broken = lambda replica: None
             for number in range(2):
                 gone = ReplicaListing(f"i-gone-{number}", "s", "127.0.0.9:9", "z1", 8, False)
-                crashes.record_broken_run(RelayReplica(gone, {}, gone.incarnation), ASKED, silent=False)
-            with mock.patch.object(crash_guard, "SETTLE_PATIENCE_S", 2 * EVIDENCE_WINDOW_S):
+                crashes.record_broken_run(
+                    RelayReplica(gone, {}, gone.incarnation), ASKED, silent=False
+                )
+            with mock.patch.object(crash_tracker, "MAX_RESOLVE_WAIT_S", 2 * EVIDENCE_WINDOW_S):
                 answer = await asyncio.wait_for(relay.ask(), EVIDENCE_WINDOW_S / 2)
             self.assertGreaterEqual(answer.status, 500)
 
@@ -110,7 +112,9 @@
         relay = await self.relay(*replicas, kind=RouteKind.UNSAFE, max_attempts=1)
         for number in range(CRASHES_TO_REFUSE):
             await relay.ask(f"id-{number}")
-            await until(lambda ends=number + 1: relay.state.crashes.ledger.crash_count(ASKED, 0.0) == ends)  # type: ignore[misc]
+            await until(
+                lambda ends=number + 1: relay.state.crashes.ledger.crash_count(ASKED, 0.0) == ends  # type: ignore[misc]
+            )
         answer = await relay.ask("id-last")
         self.assertEqual(answer.status, 500)
         self.assertIn(b"ends_replicas", answer.body)
@@ -191,7 +195,9 @@
             crashes.handle_crash_report(1, [digest])
             crashes.handle_crash_report(2, [digest])
         until_s = relay.state.clock() + 60.0
-        crashes.handle_suspect_run("n2", ASKED, SuspectRun(second.order_hash, until_s, is_exclusive=True))
+        crashes.handle_suspect_run(
+            "n2", ASKED, SuspectRun(second.order_hash, until_s, is_exclusive=True)
+        )
         crashes.handle_suspect_run(
             "n2", b"other suspect   ", SuspectRun(first.order_hash, until_s, is_exclusive=True)
         )
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -89,7 +89,9 @@
         broken.record(1, b"d", 0.0, silent=False)
         broken.mark_reached(1, 0.03)
         broken.record(1, b"e", 0.05, silent=False)
-        self.assertEqual((broken.count_unconfirmed(b"d", 0.1), broken.count_unconfirmed(b"e", 0.1)), (0, 1))
+        self.assertEqual(
+            (broken.count_unconfirmed(b"d", 0.1), broken.count_unconfirmed(b"e", 0.1)), (0, 1)
+        )
         self.assertEqual(broken.pop_crashed(1, CrashEvidence.REPLACED, 2.0), (b"d", b"e"))
 
     def test_a_cut_replica_whose_entry_lapses_has_not_ended(self) -> None:
--- a/tests/test_engine_speed.py
+++ b/tests/test_engine_speed.py
@@ -5,7 +5,14 @@
 import unittest
 
 from tests.relay_case import RelayTestCase
-from tests.relay_support import ScriptedReplica, ReceivedRequest, answering, chunk, event, stream_head
+from tests.relay_support import (
+    ReceivedRequest,
+    ScriptedReplica,
+    answering,
+    chunk,
+    event,
+    stream_head,
+)
 from winchfork.core.engine_speed import MAX_PRIOR_RATIO, PRIOR_PREFILL_TOKENS_PER_S, EngineSpeed
 from winchfork.core.routing import RouteKind
 
--- a/tests/test_fault_standins.py
+++ b/tests/test_fault_standins.py
@@ -171,7 +171,9 @@
 
     async def test_a_replica_that_is_started_before_its_time_ends_again(self) -> None:
         """A run of a request that ends replicas stayed for good, and a load waited for it."""
-        self.replica.fatal_request = FatalRequest(b"fatal", crash_after_s=0.01, restart_after_s=60.0)
+        self.replica.fatal_request = FatalRequest(
+            b"fatal", crash_after_s=0.01, restart_after_s=60.0
+        )
         for number in range(2):
             connection = await Connection.open(self._address(self.replica.replica_id))
             self.addCleanup(connection.close)
@@ -180,7 +182,9 @@
                 await connection.ask("/review/x", headers, b"fatal")
             await self.replica.restart()
         self.assertEqual(self.replica.running, 0)
-        self.assertEqual([run.crashed_at_s is None for run in self.replica.fatal_runs], [False, False])
+        self.assertEqual(
+            [run.crashed_at_s is None for run in self.replica.fatal_runs], [False, False]
+        )
 
     async def test_a_request_arrives_before_a_slow_replica_rests(self) -> None:
         self.replica.fault_injector.set_fault(ReplicaFault.SLOW)
@@ -211,6 +215,8 @@
         operator.publish(1)
         operator.publish(2)
         self.assertEqual([item.version for item in operator.published], [1, 2])
-        self.assertLessEqual(operator.published[0].acknowledged_s, operator.published[1].acknowledged_s)
+        self.assertLessEqual(
+            operator.published[0].acknowledged_s, operator.published[1].acknowledged_s
+        )
         value = store.get_text(f"op/version/{_MODEL}")
         self.assertEqual(json.loads(value or "{}"), {"Model": _MODEL, "Version": 2})
--- a/tests/test_gateway_suspension.py
+++ b/tests/test_gateway_suspension.py
@@ -50,5 +50,8 @@
         deadline_at_s = boot_seconds() + 3.0
         for slept_s in _SLEEPS_S:
             with asleep(slept_s):
-                for waiter in (Caller(connection, deadline_at_s), StoredRequestWaiter(deadline_at_s)):
+                for waiter in (
+                    Caller(connection, deadline_at_s),
+                    StoredRequestWaiter(deadline_at_s),
+                ):
                     self.assertEqual(waiter.check() is None, slept_s == 1.0, slept_s)
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -10,8 +10,8 @@
 from winchfork.core.rendezvous import member_hash
 from winchfork.router.peer_messages import WeightsEntry, WeightsProgress
 from winchfork.router.peer_messenger import PeerMessenger
-from winchfork.router.weights_exchange import WeightsExchange
 from winchfork.router.weights_announcer import WeightsAnnouncer
+from winchfork.router.weights_exchange import WeightsExchange
 
 
 class RestartUnderTheSameIdTest(unittest.TestCase):
@@ -35,7 +35,9 @@
             self.assertIsNot(living, former)
             self.assertTrue(living.accepting)
             self.assertEqual((living.loading_until_s, living.ejected_until_s), (0.0, 0.0))
-            self.assertEqual((living.running, living.queued_prefill_tokens, living.used_tokens), (0, 0, 0))
+            self.assertEqual(
+                (living.running, living.queued_prefill_tokens, living.used_tokens), (0, 0, 0)
+            )
             self.assertEqual(state.parts.holders(11), {})
             state.record_peer_cached_parts(former.order_hash, (13,))
             self.assertNotIn(living.order_hash, state.parts.holders(13))
--- a/tests/test_late_word.py
+++ b/tests/test_late_word.py
@@ -79,7 +79,9 @@
             document = json.dumps({"Model": MODEL, "Version": 2}).encode()
             named = TableItem(f"op/version/{MODEL}", later.revision, document)
             deaf.sync.install_update(TableUpdate(known, later, False, False, (named,)))
-            (newest,) = (item for item in deaf.state.weights_versions[MODEL].versions if item.version == 2)
+            (newest,) = (
+                item for item in deaf.state.weights_versions[MODEL].versions if item.version == 2
+            )
             self.assertLessEqual(newest.received_at_s, proven_s)
             self.assertTrue(newest.assumed)
 
--- a/tests/test_limit_fleet.py
+++ b/tests/test_limit_fleet.py
@@ -207,7 +207,10 @@
             take = network.groups[daemons[0].ip]._handlers[ReplicaNotices]
             key = replica.replica_at(daemons[0]).order_hash
             old, unknown = LimitEntry(None, 5000), LimitEntry(1.0, 0)
-            notes = (ReplicaNoticeEntry(key, False, 0, old), ReplicaNoticeEntry(5, False, 0, unknown))
+            notes = (
+                ReplicaNoticeEntry(key, False, 0, old),
+                ReplicaNoticeEntry(5, False, 0, unknown),
+            )
             take(ReplicaNotices("n2", notes))
             self.assertEqual(replica.replica_at(daemons[0]).notice.limit.per_s, 2.0)
             take(ReplicaNotices("n2", (ReplicaNoticeEntry(key, False, 0, LimitEntry(None, 0)),)))
--- a/tests/test_lossy_router.py
+++ b/tests/test_lossy_router.py
@@ -7,8 +7,8 @@
 import unittest
 from pathlib import Path
 
-from standins.soak.network_partition import NetworkPartition
 from standins.soak.lossy_router import LossyProtocol
+from standins.soak.network_partition import NetworkPartition
 from winchfork.emulator.free_ports import free_port
 
 
--- a/tests/test_notice_rules.py
+++ b/tests/test_notice_rules.py
@@ -6,9 +6,9 @@
 
 from winchfork.core.replica_notice import (
     CLOCK_TOLERANCE_S,
-    UNCONFIRMED_DRAINING_S,
     MAX_BACKOFF_S,
     TRIAL_S,
+    UNCONFIRMED_DRAINING_S,
     AnswerNotice,
     NoticeChange,
     ReplicaNotice,
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -143,7 +143,9 @@
             newcomer.state.weights_versions["m"] = VersionHistory()
             newcomer.state.weights_versions["m"].add(2, newcomer.state.clock())
             await asyncio.sleep(3.0)
-            due_s = newcomer.state.weights_versions["m"].expires_at_s(1, 8.0) - newcomer.state.clock()
+            due_s = (
+                newcomer.state.weights_versions["m"].expires_at_s(1, 8.0) - newcomer.state.clock()
+            )
             self.assertLess(due_s, 0.1)
 
         run_with_daemons(2, scenario)
--- a/tests/test_platform_calls.py
+++ b/tests/test_platform_calls.py
@@ -6,7 +6,7 @@
 import json
 import unittest
 
-from tests.relay_support import ScriptedReplica, ReceivedRequest, answering, resetting
+from tests.relay_support import ReceivedRequest, ScriptedReplica, answering, resetting
 from winchfork.backends.replica_control import OrderOutcome, ReplicaReport, WeightsOrder
 from winchfork.core.replica_notice import AnswerNotice
 from winchfork.core.store_position import StorePosition
--- a/tests/test_platform_whole.py
+++ b/tests/test_platform_whole.py
@@ -155,7 +155,9 @@
         for report, fault in zip(reports, (models, applications), strict=True):
             self.assertLess(report.duration_s, ROLLOUT_S + 0.5)
             if fault is not ReplicaFault.NONE:
-                self.assertLessEqual(report.target_requests, 0.1 * report.total_requests + 50, report)
+                self.assertLessEqual(
+                    report.target_requests, 0.1 * report.total_requests + 50, report
+                )
         return reports[0].state, reports[1].state
 
     async def _call(self, caller: int, stop: asyncio.Event) -> None:
--- a/tests/test_quota_fleet.py
+++ b/tests/test_quota_fleet.py
@@ -6,7 +6,14 @@
 import unittest
 from collections.abc import Callable
 
-from tests.quota_fleet import KEYS_EXPIRE_S, RATES, TOLERANCE, QuotaScenario, ScenarioResult, run_scenario
+from tests.quota_fleet import (
+    KEYS_EXPIRE_S,
+    RATES,
+    TOLERANCE,
+    QuotaScenario,
+    ScenarioResult,
+    run_scenario,
+)
 from winchfork.core.tenant_quota import BURST_EXCESS_SHARE, TenantLimit
 from winchfork.router.quota_exchange import ISOLATED_SHARE
 
--- a/tests/test_region_fleet.py
+++ b/tests/test_region_fleet.py
@@ -137,7 +137,9 @@
             fleet.put_configuration(4)
             await asyncio.sleep(0.2)
             versions = {
-                daemon.state.routing_table.version for daemon in fleet.daemons if daemon.state.routing_table
+                daemon.state.routing_table.version
+                for daemon in fleet.daemons
+                if daemon.state.routing_table
             }
             self.assertEqual(versions, {4})
             for daemon in fleet.of_region("b"):
@@ -219,7 +221,9 @@
             self.assertEqual(fleet.work_seen(fleet.of_region("b")), Counter({41: 21}))
             self.assertTrue(all(daemon.state.ready for daemon in fleet.daemons))
             versions = {
-                daemon.state.routing_table.version for daemon in fleet.daemons if daemon.state.routing_table
+                daemon.state.routing_table.version
+                for daemon in fleet.daemons
+                if daemon.state.routing_table
             }
             self.assertEqual(versions, {9})
 
@@ -238,7 +242,9 @@
                 await asyncio.sleep(1.5)
             self.assertEqual(fleet.work_seen(fleet.of_region("b")), Counter({21: 21}))
             versions = {
-                daemon.state.routing_table.version for daemon in fleet.daemons if daemon.state.routing_table
+                daemon.state.routing_table.version
+                for daemon in fleet.daemons
+                if daemon.state.routing_table
             }
             self.assertEqual(versions, {13})
 
--- a/tests/test_relay_fleet.py
+++ b/tests/test_relay_fleet.py
@@ -4,8 +4,8 @@
 
 import unittest
 
-from winchfork.core.relay_fleet import RelayFleet, IncarnationChangeCause, IncarnationChange
-from winchfork.core.relay_replica import RelayReplica, ReplicaListing, IncarnationState
+from winchfork.core.relay_fleet import IncarnationChange, IncarnationChangeCause, RelayFleet
+from winchfork.core.relay_replica import IncarnationState, RelayReplica, ReplicaListing
 
 
 def listing(replica_id: str, address: str = "a:1", **changes: object) -> ReplicaListing:
@@ -97,7 +97,9 @@
         fleet = fleet_of(listing("i-1"), listing("i-2"), listing("i-3"))
         fleet.record_other_answered(replica(fleet, "i-3"), "i-1")
         standings = [replica(fleet, f"i-{number}").incarnation_state for number in (1, 2, 3)]
-        self.assertEqual(standings, [IncarnationState.CURRENT, IncarnationState.SUSPECT, IncarnationState.ENDED])
+        self.assertEqual(
+            standings, [IncarnationState.CURRENT, IncarnationState.SUSPECT, IncarnationState.ENDED]
+        )
 
     def test_where_the_id_is_not_known_the_next_gets_its_turn(self) -> None:
         fleet = fleet_of(listing("i-1"), listing("i-2"), listing("i-3"))
--- a/tests/test_relay_path.py
+++ b/tests/test_relay_path.py
@@ -7,9 +7,9 @@
 from tests.relay_case import PROMPT_HEADERS, RelayTestCase
 from tests.relay_support import (
     KEY,
+    ReceivedRequest,
     RelayUnderTest,
     ScriptedReplica,
-    ReceivedRequest,
     answering,
     caller_request,
     chunk,
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -6,8 +6,8 @@
 
 from tests.relay_case import PROMPT_HEADERS, RelayTestCase
 from tests.relay_support import (
-    ScriptedReplica,
     ReceivedRequest,
+    ScriptedReplica,
     answering,
     chunk,
     event,
--- a/tests/test_replica_notices.py
+++ b/tests/test_replica_notices.py
@@ -17,9 +17,9 @@
 
 from tests.relay_case import PROMPT_HEADERS, RelayTestCase
 from tests.relay_support import (
+    ReceivedRequest,
     RelayUnderTest,
     ScriptedReplica,
-    ReceivedRequest,
     answering,
     caller_request,
     chunk,
--- a/tests/test_restored_entries.py
+++ b/tests/test_restored_entries.py
@@ -15,7 +15,7 @@
 from winchfork.router.refusal_records import RefusalRecord, bucket_key
 from winchfork.router.refusal_writer import OTHERS_DELAY_S
 from winchfork.router.restored_entries import HELD_BACK_S
-from winchfork.router.software_records import software_record_key, encode_record
+from winchfork.router.software_records import encode_record, software_record_key
 
 DAEMONS = 5
 DIGEST = bytes(range(DIGEST_BYTES))
@@ -185,7 +185,9 @@
             await asyncio.sleep(1.0)
             known = {daemon.state.software.orders["huvo11a"] for daemon in fleet.daemons}
             self.assertEqual(known, {SoftwareOrder("huvo11a", "v2", 30.0, number)})
-            called = {d.state.software.current_order_number("huvo11a", given) for d in fleet.daemons}
+            called = {
+                d.state.software.current_order_number("huvo11a", given) for d in fleet.daemons
+            }
             self.assertEqual(called, {number})
 
         self._play(scenario)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -14,8 +14,8 @@
     RoutingTable,
     Service,
     ServiceShare,
-    TrafficSplitter,
     TenantPolicy,
+    TrafficSplitter,
 )
 from winchfork.router.settings import RouterSettings
 from winchfork.router.state import RouterState
@@ -118,7 +118,9 @@
                 for number in range(90)
             ]
             regions = state.settings.regions
-            stores = [state.cache_stores.stores_by_region(family, regions)[""] for family in families]
+            stores = [
+                state.cache_stores.stores_by_region(family, regions)[""] for family in families
+            ]
             homes.append([store.listing.address for store in stores])
         self.assertEqual(homes[0], homes[1])
         self.assertEqual(len(set(homes[0])), 3)
--- a/tests/test_soak_faults.py
+++ b/tests/test_soak_faults.py
@@ -12,8 +12,8 @@
 from standins.replica_server import ReceivedOrder
 from standins.soak.disruptions import DisruptionLog
 from standins.soak.faults import process_faults
-from standins.soak.faults.process_faults import ProcessFaults
 from standins.soak.faults.context import FaultContext
+from standins.soak.faults.process_faults import ProcessFaults
 from standins.soak.lanes import Lane
 from standins.soak.routers import SoakRouter
 from tests.virtual_loop import run_virtually
@@ -51,7 +51,10 @@
         self.assertGreaterEqual(len(struck), process_faults.MIN_STALLS_IN_SERIES)
         self.assertLessEqual(len(struck), process_faults.MAX_STALLS_IN_SERIES)
         for (from_s, until_s), holder in struck:
-            last = max((order for order in orders if order.received_at_s <= from_s), key=lambda o: o.received_at_s)
+            last = max(
+                (order for order in orders if order.received_at_s <= from_s),
+                key=lambda o: o.received_at_s,
+            )
             self.assertEqual(last.holder, holder)
             self.assertLess(from_s - last.received_at_s, ORDER_PERIOD_S)
             self.assertGreaterEqual(until_s - from_s, process_faults.MIN_STALL_S)
--- a/tests/test_soak_promises.py
+++ b/tests/test_soak_promises.py
@@ -6,25 +6,25 @@
 
 from standins.answer_faults import ReplicaFault
 from standins.notice_checks import Sender, check_notices
+from standins.notice_emitter import Arrival, Backoff, NoticeEmitter
 from standins.replica_server import FatalRun, Generation, ReceivedOrder, ReplicaServer
 from standins.rollout_operator import RolloutReport
 from standins.soak.callers import Reply, StreamReply
-from standins.soak.disruptions import ALL_ROUTERS, STALL, DisruptionLog
-from standins.soak.fatal_requests import check_fatal_requests
 from standins.soak.checks import (
     check_commands,
-    check_unrelated_refusals,
     check_orders,
     check_rollout,
     check_stream,
+    check_unrelated_refusals,
 )
+from standins.soak.disruptions import ALL_ROUTERS, STALL, DisruptionLog
+from standins.soak.fatal_requests import check_fatal_requests
 from standins.soak.weights_checks import (
     LateGeneration,
     describe_late,
     late_generations,
     replicas_behind,
 )
-from standins.notice_emitter import Arrival, Backoff, NoticeEmitter
 from standins.store_server import StoreServer
 from standins.weights_operator import PublishedWeights
 
--- a/tests/test_software_failures.py
+++ b/tests/test_software_failures.py
@@ -13,8 +13,8 @@
     SERVICE,
     Behaviour,
     RolloutFleet,
-    run_in_rollout_fleet,
     healthy,
+    run_in_rollout_fleet,
 )
 from tests.virtual_loop import run_virtually
 from winchfork.core.software_state import SoftwarePhase
@@ -134,14 +134,18 @@
 
     def test_a_bad_version_is_stopped_while_the_store_refuses_the_leader(self) -> None:
         async def scenario(fleet: RolloutFleet) -> None:
-            fleet.behaviour = bad_version(failing, lambda request: request.at_s > 0.62 * DURATION_S, 0.5)
+            fleet.behaviour = bad_version(
+                failing, lambda request: request.at_s > 0.62 * DURATION_S, 0.5
+            )
             fleet.list_replicas("v2")
             fleet.order()
             await wait_until(lambda: phase_is(fleet, SoftwarePhase.MOVED))
             fleet.leader().store.cut = True
             await wait_until(lambda: fleet.bad_answers > 0)
             began_s = fleet.now_s()
-            await wait_until(lambda: fleet.last_request_s["v2"] + 1.0 < fleet.now_s() - fleet.ordered_s)
+            await wait_until(
+                lambda: fleet.last_request_s["v2"] + 1.0 < fleet.now_s() - fleet.ordered_s
+            )
             self.assertLess(fleet.ordered_s + fleet.last_request_s["v2"] - began_s, 2.0)
             await fleet.wait_until_finished()
             self.assertEqual(fleet.status(), ("rolled_back", "v2"))
--- a/tests/test_software_rollout.py
+++ b/tests/test_software_rollout.py
@@ -15,8 +15,8 @@
     Behaviour,
     Request,
     RolloutFleet,
-    run_in_rollout_fleet,
     healthy,
+    run_in_rollout_fleet,
 )
 from winchfork.core.software_state import SoftwarePhase
 
@@ -248,7 +248,9 @@
         async def scenario(fleet: RolloutFleet) -> None:
             fleet.list_replicas("v2")
             fleet.order()
-            await wait_until(lambda: phase_is(fleet, SoftwarePhase.TRIAL) and fleet.record().share > 0)
+            await wait_until(
+                lambda: phase_is(fleet, SoftwarePhase.TRIAL) and fleet.record().share > 0
+            )
             fleet.list_replicas("v3")
             fleet.order("v3")
             await asyncio.sleep(0.5)
--- a/tests/test_store_copies.py
+++ b/tests/test_store_copies.py
@@ -6,7 +6,12 @@
 import unittest
 
 from tests.peer_support import Daemon
-from tests.store_restore_fleet import MAX_PROPAGATION_S, MODEL, StoreRestoreFleet, run_in_store_restore_fleet
+from tests.store_restore_fleet import (
+    MAX_PROPAGATION_S,
+    MODEL,
+    StoreRestoreFleet,
+    run_in_store_restore_fleet,
+)
 from winchfork.router.document_installer import RELISTING_GRACE_S
 from winchfork.router.process import SWEEP_PERIOD_S
 
@@ -30,7 +35,9 @@
         async def scenario(fleet: StoreRestoreFleet) -> None:
             await fleet.lose_recent_writes()
             fleet.configure(9)
-            self.assertEqual(await fleet.uninformed_after(knows_configuration, MAX_PROPAGATION_S), [])
+            self.assertEqual(
+                await fleet.uninformed_after(knows_configuration, MAX_PROPAGATION_S), []
+            )
 
         for count in FLEETS:
             with self.subTest(daemons=count):
@@ -79,7 +86,9 @@
             fleet.change(5)
             fleet.store.restore(copy)
             fleet.configure(9)
-            self.assertEqual(await fleet.uninformed_after(knows_configuration, MAX_PROPAGATION_S), [])
+            self.assertEqual(
+                await fleet.uninformed_after(knows_configuration, MAX_PROPAGATION_S), []
+            )
 
         for count in FLEETS:
             with self.subTest(daemons=count):
--- a/tests/test_store_copies_whole.py
+++ b/tests/test_store_copies_whole.py
@@ -54,6 +54,8 @@
         before = len(leaving.notices.arrivals)
         await self.send_for(6.0)
         self.assertEqual(len(leaving.notices.arrivals), before)
-        held = {model.weights_version for model in deployment.model_replicas if model is not leaving}
+        held = {
+            model.weights_version for model in deployment.model_replicas if model is not leaving
+        }
         self.assertEqual(held, {2})
         self.assertEqual(set(self.statuses), {200})
--- a/tests/test_store_sync.py
+++ b/tests/test_store_sync.py
@@ -36,7 +36,9 @@
         self.store = store
         self.state = RouterState(settings, loop.time, generator)
         self.leadership = Leadership(store, "n1", 3.0, loop.time, generator, 1.0)
-        self.sync = StoreSync(self.state, store, PlatformDocumentCodec(), self.leadership, generator)
+        self.sync = StoreSync(
+            self.state, store, PlatformDocumentCodec(), self.leadership, generator
+        )
         self.task = asyncio.create_task(self.sync.run())
 
     def age_s(self) -> float:
--- a/tests/test_stream_moves.py
+++ b/tests/test_stream_moves.py
@@ -8,9 +8,9 @@
 from tests.relay_case import RelayTestCase
 from tests.relay_support import (
     ReceivedAnswer,
+    ReceivedRequest,
     RelayUnderTest,
     ScriptedReplica,
-    ReceivedRequest,
     answering,
     chunk,
     event,
@@ -148,7 +148,9 @@
         now_s = relay.state.clock()
         while relay.state.retry_budget.try_spend("s", relay.state.daemon_count, now_s, 0.5):
             pass
-        self.assertTrue(relay.state.retry_budget.remaining("s", relay.state.daemon_count, now_s) >= 1.0)
+        self.assertTrue(
+            relay.state.retry_budget.remaining("s", relay.state.daemon_count, now_s) >= 1.0
+        )
         self.hold(relay, "i-0")
         stream.go_on.set()
         self.assert_whole(await asked)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -17,9 +17,9 @@
 from tests.memory_store import MemoryStore
 from tests.peer_support import Daemon, Network
 from tests.relay_support import (
+    ReceivedRequest,
     RelayUnderTest,
     ScriptedReplica,
-    ReceivedRequest,
     answering,
     caller_request,
     chunk,
@@ -40,9 +40,9 @@
 from winchfork.router.boot_clock import BootClockLoop
 from winchfork.router.connection_pool import ConnectionPool
 from winchfork.router.header_codec import RequestFields
-from winchfork.router.pooled_http_client import PooledHttpClient
 from winchfork.router.http_types import IncomingRequest
 from winchfork.router.leadership import VALIDITY_S, Leadership
+from winchfork.router.pooled_http_client import PooledHttpClient
 from winchfork.router.request_admission import RequestAdmission
 
 #: Seconds of sleep: within every bound, at the edge of them, beyond all.
--- a/tests/test_tenant_quota.py
+++ b/tests/test_tenant_quota.py
@@ -94,7 +94,9 @@
     def test_what_is_left_of_a_low_bucket_is_not_used_on_an_old_word(self) -> None:
         quota = full_bucket()
         quota.try_acquire(1_500.0, RefillShare(), LONG_S)
-        self.assertIsInstance(quota.try_acquire(400.0, RefillShare(0.0, 0.01), LONG_S), QuotaRefusal)
+        self.assertIsInstance(
+            quota.try_acquire(400.0, RefillShare(0.0, 0.01), LONG_S), QuotaRefusal
+        )
 
     def test_a_hubs_word_replaces_all_but_the_latest_own_use(self) -> None:
         quota = full_bucket()
@@ -236,7 +238,9 @@
             running.set_refill_share(RefillShare(), self.UNTIL_S + ticks * self.TICK_S)
             still.set_refill_share(RefillShare(), self.UNTIL_S + ticks * self.TICK_S)
         now_s = self.UNTIL_S + 2 * self.TICK_S
-        self.assertAlmostEqual(still.remaining(now_s)["school"], running.remaining(now_s)["school"], 6)
+        self.assertAlmostEqual(
+            still.remaining(now_s)["school"], running.remaining(now_s)["school"], 6
+        )
 
     def test_what_a_hub_tells_after_a_standstill_has_the_inflow_of_it(self) -> None:
         _, still, _ = self.played()
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -5,7 +5,14 @@
 import unittest
 
 from tests.relay_case import RelayTestCase
-from tests.relay_support import ScriptedReplica, ReceivedRequest, answering, chunk, event, stream_head
+from tests.relay_support import (
+    ReceivedRequest,
+    ScriptedReplica,
+    answering,
+    chunk,
+    event,
+    stream_head,
+)
 from winchfork.core.routing import RouteKind
 from winchfork.core.urgency import LOWEST_URGENCY, MAX_PENALTY_LEVELS, urgency_level
 
--- a/tests/test_version_evidence.py
+++ b/tests/test_version_evidence.py
@@ -27,7 +27,7 @@
     infer_in_force,
     version_rule,
 )
-from winchfork.core.version_evidence import AnswerCounts, Evidence, Assessment, VersionTest
+from winchfork.core.version_evidence import AnswerCounts, Assessment, Evidence, VersionTest
 
 #: Share of failures of the old version, by route.
 ROUTES = {1: 0.01, 2: 0.14}
--- a/tests/test_weights_bounds.py
+++ b/tests/test_weights_bounds.py
@@ -241,7 +241,9 @@
                 daemon.store.cut = False
             await asyncio.sleep(2.0)
             for daemon in fleet.daemons:
-                allowed_s = daemon.state.weights_versions[MODEL].expires_at_s(2, BOUND_S) - fleet.named_s
+                allowed_s = (
+                    daemon.state.weights_versions[MODEL].expires_at_s(2, BOUND_S) - fleet.named_s
+                )
                 self.assertLess(allowed_s, BOUND_S + TOLERANCE_S, daemon.ip)
 
         follow(scenario, daemons=3)
@@ -387,7 +389,9 @@
             document = json.dumps({"Model": MODEL, "Version": 2}).encode()
             named = TableItem(f"op/version/{MODEL}", later.revision, document)
             deaf.sync.install_update(TableUpdate(known, later, False, False, (named,)))
-            left_s = deaf.state.weights_versions[MODEL].expires_at_s(1, BOUND_S) - deaf.state.clock()
+            left_s = (
+                deaf.state.weights_versions[MODEL].expires_at_s(1, BOUND_S) - deaf.state.clock()
+            )
             self.assertLess(left_s, BOUND_S - deaf.age_s() + 0.1)
 
         run_virtually(main())
--- a/tests/test_weights_rollout.py
+++ b/tests/test_weights_rollout.py
@@ -75,7 +75,8 @@
             for _ in range(800):
                 await asyncio.sleep(0.01)
                 available = {
-                    item.replica_id for item in fleet.state.replica_selector.candidates("s", set(), PROMPT)
+                    item.replica_id
+                    for item in fleet.state.replica_selector.candidates("s", set(), PROMPT)
                 }
                 loading = {
                     item.replica_id for item in replicas if item.next_version != item.version
@@ -184,7 +185,9 @@
                 task.cancel()
             fleet.name_version(2)
             await asyncio.sleep(8.0 - 1.84)
-            self.assertFalse(fleet.state.replica_selector.candidates("s", set(), Prompt(MODEL, (), 28_000)))
+            self.assertFalse(
+                fleet.state.replica_selector.candidates("s", set(), Prompt(MODEL, (), 28_000))
+            )
             self.assertTrue(fleet.state.replica_selector.candidates("s", set(), PROMPT))
 
         run_virtually(scenario())
@@ -202,7 +205,8 @@
             for _ in range(400):
                 await asyncio.sleep(0.01)
                 available = {
-                    item.replica_id for item in fleet.state.replica_selector.candidates("s", set(), PROMPT)
+                    item.replica_id
+                    for item in fleet.state.replica_selector.candidates("s", set(), PROMPT)
                 }
                 self.assertNotIn(ordered.replica_id, available)
             self.assertFalse(fleet.leadership.may_act())
@@ -221,12 +225,14 @@
             fleet.control.replicas["i-9"] = FakeReplica("i-9")
             fleet.state.fleet.install(back)
             available = {
-                item.replica_id for item in fleet.state.replica_selector.candidates("s", set(), PROMPT)
+                item.replica_id
+                for item in fleet.state.replica_selector.candidates("s", set(), PROMPT)
             }
             self.assertNotIn("i-9", available)
             await asyncio.sleep(6.0)
             available = {
-                item.replica_id for item in fleet.state.replica_selector.candidates("s", set(), PROMPT)
+                item.replica_id
+                for item in fleet.state.replica_selector.candidates("s", set(), PROMPT)
             }
             self.assertIn("i-9", available)
 
@@ -327,7 +333,8 @@
             fleet = Fleet([FakeReplica("i-0")])
             fleet.state.fleet.install(ReplicaListing("i-1", "s", "i-0", "z1", 8, True, {MODEL: 1}))
             available = [
-                item.replica_id for item in fleet.state.replica_selector.candidates("s", set(), PROMPT)
+                item.replica_id
+                for item in fleet.state.replica_selector.candidates("s", set(), PROMPT)
             ]
             self.assertEqual(available, ["i-1"])
 
--- a/tests/test_zone_loss.py
+++ b/tests/test_zone_loss.py
@@ -10,9 +10,9 @@
 from tests.peer_support import Daemon
 from tests.relay_support import (
     HANG_TIMEOUT_S,
+    ReceivedRequest,
     RelayUnderTest,
     ScriptedReplica,
-    ReceivedRequest,
     caller_request,
     chunk,
     event,
@@ -21,7 +21,12 @@
     stream_head,
 )
 from winchfork.core.routing import RouteKind
-from winchfork.core.zone_reachability import MIN_FAILED_REPLICAS, SILENCE_TIMEOUT_S, HUB_REPORT_TTL_S, ZoneReachability
+from winchfork.core.zone_reachability import (
+    HUB_REPORT_TTL_S,
+    MIN_FAILED_REPLICAS,
+    SILENCE_TIMEOUT_S,
+    ZoneReachability,
+)
 
 
 class ZoneReachTest(unittest.TestCase):
@@ -111,15 +116,23 @@
             fail_replicas(outside, "z2")
             await asyncio.sleep(0.4)
             for daemon in inside:
-                zones = {item.listing.zone for item in daemon.state.replica_selector.candidates("s", set())}
+                zones = {
+                    item.listing.zone
+                    for item in daemon.state.replica_selector.candidates("s", set())
+                }
                 self.assertEqual(zones, {"z2"})
             for daemon in outside:
-                zones = {item.listing.zone for item in daemon.state.replica_selector.candidates("s", set())}
+                zones = {
+                    item.listing.zone
+                    for item in daemon.state.replica_selector.candidates("s", set())
+                }
                 self.assertNotIn("z2", zones)
             heal(fleet)
             await asyncio.sleep(1.0)
             for daemon in fleet.daemons:
-                found = {item.replica_id for item in daemon.state.replica_selector.candidates("s", set())}
+                found = {
+                    item.replica_id for item in daemon.state.replica_selector.candidates("s", set())
+                }
                 self.assertTrue({f"r-{number}" for number in range(6)} <= found)
 
         self.in_fleet(scenario)
--- a/tests/weights_fleet.py
+++ b/tests/weights_fleet.py
@@ -103,7 +103,9 @@
         replica = self.replicas[address]
         if replica.order_answers_to_lose:
             replica.order_answers_to_lose -= 1
-            loop.call_later(replica.lost_order_delay_s, lambda: replica.handle_order(order, loop.time()))
+            loop.call_later(
+                replica.lost_order_delay_s, lambda: replica.handle_order(order, loop.time())
+            )
             return FailureKind.BACKEND_FAILED.because("no answer")
         outcome = replica.handle_order(order, loop.time())
         loading = sum(1 for item in self.replicas.values() if item.next_version != item.version)
--- a/winchfork/cli/day_figures.py
+++ b/winchfork/cli/day_figures.py
@@ -125,4 +125,6 @@
             lost_s.setdefault(event.source, at_s)
         elif event.name == "store_regained" and event.source in lost_s:
             found.append(StoreUnreachablePeriod(event.source, lost_s.pop(event.source), at_s))
-    return found + [StoreUnreachablePeriod(source, from_s, None) for source, from_s in lost_s.items()]
+    return found + [
+        StoreUnreachablePeriod(source, from_s, None) for source, from_s in lost_s.items()
+    ]
--- a/winchfork/cli/experiment_commands.py
+++ b/winchfork/cli/experiment_commands.py
@@ -11,7 +11,7 @@
 from winchfork.cli.output import EXIT_OK, EXIT_USAGE, print_failure, print_table
 from winchfork.core.policies.registry import DEFAULT_POLICY
 from winchfork.emulator.capacity import CAPACITY_SIZES, measure_capacity, render_capacity
-from winchfork.emulator.comparison import plot, summarize, table_rows, compare_with_baselines
+from winchfork.emulator.comparison import compare_with_baselines, plot, summarize, table_rows
 from winchfork.emulator.experiment import (
     FAULTS,
     ExperimentOptions,
--- a/winchfork/cluster/claim_client.py
+++ b/winchfork/cluster/claim_client.py
@@ -14,8 +14,8 @@
     ClaimPhase,
     OutcomeRecord,
     VoteReply,
-    panel_of_key,
     issue_time_of_key,
+    panel_of_key,
 )
 from winchfork.errors import Failure, FailureKind, RunState
 
--- a/winchfork/control/rollout.py
+++ b/winchfork/control/rollout.py
@@ -116,7 +116,11 @@
 
     def _advance(self, entry: Entry) -> None:
         target = RolloutTarget(**json.loads(entry.value))
-        pending = [replica for replica in self._replicas(target) if not _has_target_version(replica, target)]
+        pending = [
+            replica
+            for replica in self._replicas(target)
+            if not _has_target_version(replica, target)
+        ]
         for replica in pending:
             running = self._loading.get(replica.replica_id)
             if running is not None and not running.done():
@@ -175,7 +179,9 @@
         replicas = self._replicas(target)
         loading = {replica_id for replica_id, future in self._loading.items() if not future.done()}
         done = [replica.replica_id for replica in replicas if _has_target_version(replica, target)]
-        rest = [replica.replica_id for replica in replicas if not _has_target_version(replica, target)]
+        rest = [
+            replica.replica_id for replica in replicas if not _has_target_version(replica, target)
+        ]
         return pb.RolloutReply(
             pool=target.pool,
             weights_version=target.weights_version,
--- a/winchfork/control/rpc_server.py
+++ b/winchfork/control/rpc_server.py
@@ -69,7 +69,9 @@
 class OperatorService(winchfork_pb2_grpc.OperatorServicer):
     """Implements proto/winchfork.proto."""
 
-    def __init__(self, node: PeerNode, writer: ConfigurationWriter, rollouts: RolloutManager) -> None:
+    def __init__(
+        self, node: PeerNode, writer: ConfigurationWriter, rollouts: RolloutManager
+    ) -> None:
         self._node = node
         self._state = node.state
         self._writer = writer
--- a/winchfork/core/broken_runs.py
+++ b/winchfork/core/broken_runs.py
@@ -56,7 +56,9 @@
         for runs in self._runs.values():
             runs.pop(digest, None)
 
-    def pop_crashed(self, incarnation: int, evidence: CrashEvidence, now_s: float) -> tuple[bytes, ...]:
+    def pop_crashed(
+        self, incarnation: int, evidence: CrashEvidence, now_s: float
+    ) -> tuple[bytes, ...]:
         """Take out the requests that an incarnation was running when it ended.
 
         A lapsed entry of a replica that fell silent shows no more than a cut.
@@ -82,7 +84,9 @@
 
     def _forget(self, now_s: float) -> None:
         for incarnation, runs in list(self._runs.items()):
-            for digest in [key for key, run in runs.items() if now_s - run.at_s > EVIDENCE_WINDOW_S]:
+            for digest in [
+                key for key, run in runs.items() if now_s - run.at_s > EVIDENCE_WINDOW_S
+            ]:
                 del runs[digest]
             if not runs:
                 del self._runs[incarnation]
--- a/winchfork/core/crash_history.py
+++ b/winchfork/core/crash_history.py
@@ -59,9 +59,7 @@
 class CrashHistory:
     """Suspicions and refusals by digest. Not thread-safe."""
 
-    def __init__(
-        self, max_suspects: int = MAX_SUSPECTS, max_refused: int = MAX_REFUSED
-    ) -> None:
+    def __init__(self, max_suspects: int = MAX_SUSPECTS, max_refused: int = MAX_REFUSED) -> None:
         self._max_suspects = max_suspects
         self._max_refused = max_refused
         self._suspicions: OrderedDict[bytes, _Suspicion] = OrderedDict()
@@ -147,7 +145,9 @@
         return known
 
 
-def _put_last(table: OrderedDict[bytes, _Entry], digest: bytes, entry: _Entry, max_entries: int) -> None:
+def _put_last(
+    table: OrderedDict[bytes, _Entry], digest: bytes, entry: _Entry, max_entries: int
+) -> None:
     """Enter what was touched just now; of more than ``most``, the longest untouched goes."""
     table[digest] = entry
     table.move_to_end(digest)
--- a/winchfork/core/membership.py
+++ b/winchfork/core/membership.py
@@ -158,7 +158,11 @@
                 self.own,
                 message.nonce,
                 self._revisions(),
-                (*self._suspicion_of(message.sender), *self._pop_changes(), *self._records_for(message)),
+                (
+                    *self._suspicion_of(message.sender),
+                    *self._pop_changes(),
+                    *self._records_for(message),
+                ),
                 self._pack_loads(),
             )
             return [Outgoing(message.sender.peer_address, reply)]
@@ -339,7 +343,9 @@
         """
         if len(self._to_spread) <= PIGGYBACK_CHANGES:
             self._recently_suspected.clear()
-        self._recently_suspected = {name for name in self._recently_suspected if name in self._to_spread}
+        self._recently_suspected = {
+            name for name in self._recently_suspected if name in self._to_spread
+        }
         return bool(self._recently_suspected)
 
     def _pop_changes(self) -> tuple[Member, ...]:
--- a/winchfork/core/peer_reports.py
+++ b/winchfork/core/peer_reports.py
@@ -30,7 +30,9 @@
         """Whether one peer alone says it."""
         return len(self._reporters.get(incarnation, ())) == 1
 
-    def accept(self, incarnation: int, reporter: str, accepted: Collection[int], replicas: int) -> bool:
+    def accept(
+        self, incarnation: int, reporter: str, accepted: Collection[int], replicas: int
+    ) -> bool:
         """Take in a peer's word, and return whether to heed it.
 
         ``heeded`` are the incarnations of the service of which it is heeded already, and
--- a/winchfork/core/permit_queue.py
+++ b/winchfork/core/permit_queue.py
@@ -44,7 +44,9 @@
 
 def max_permit_wait_s(openings: Sequence[PermitOpening], target_s: float) -> float:
     """Return how long a request with this latency objective waits for a place."""
-    per_s = sum(1.0 / opening.interval_s for opening in openings if not math.isinf(opening.available_in_s))
+    per_s = sum(
+        1.0 / opening.interval_s for opening in openings if not math.isinf(opening.available_in_s)
+    )
     patient_s = MAX_WAIT_SHARE * target_s
     return max(patient_s, MAX_WAIT_PERMITS / per_s) if per_s else patient_s
 
--- a/winchfork/core/prompt_cost.py
+++ b/winchfork/core/prompt_cost.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from winchfork.core.placement_request import LONG_ANSWER_RATIO, PromptPlacementRequest
-from winchfork.core.prompt_parts import Prompt
 from winchfork.core.prefill_plan import PrefillPlan
+from winchfork.core.prompt_parts import Prompt
 from winchfork.core.region_map import Distance
 from winchfork.core.relay_replica import RelayReplica
 from winchfork.core.rendezvous import mixed_order
@@ -55,7 +55,11 @@
 
 
 def prompt_cost_s(
-    request: PromptPlacementRequest, replica: RelayReplica, rank: int, is_home: bool, plan: PrefillPlan
+    request: PromptPlacementRequest,
+    replica: RelayReplica,
+    rank: int,
+    is_home: bool,
+    plan: PrefillPlan,
 ) -> float:
     """Return the cost of a prompt at a replica that is ``rank``-th in the order of its region."""
     running = replica.running
@@ -86,7 +90,9 @@
     return cost_s
 
 
-def _token_gap_cost_s(request: PromptPlacementRequest, replica: RelayReplica, prefill_s: float) -> float:
+def _token_gap_cost_s(
+    request: PromptPlacementRequest, replica: RelayReplica, prefill_s: float
+) -> float:
     """Return the charge for what this prompt adds to the pause of each running answer.
 
     Where answers stand still for too long already, one more prompt takes nothing from them.
--- a/winchfork/core/quota_ledger.py
+++ b/winchfork/core/quota_ledger.py
@@ -119,7 +119,9 @@
     def report(self, now_s: float) -> QuotaReport | None:
         """Return the totals that are to be told now; None without any."""
         changed = tuple(
-            _mark_sent(key, total, now_s) for key, total in self._totals.items() if _is_due(total, now_s)
+            _mark_sent(key, total, now_s)
+            for key, total in self._totals.items()
+            if _is_due(total, now_s)
         )
         return QuotaReport(self._start_id, changed) if changed else None
 
@@ -170,7 +172,9 @@
         return {key: cost for key, cost in news.items() if cost}
 
 
-def _new_usage(received: _ReceivedTotals, totals: QuotaTotals, unknown_sender_share: float) -> float:
+def _new_usage(
+    received: _ReceivedTotals, totals: QuotaTotals, unknown_sender_share: float
+) -> float:
     known = received.totals.get(totals.key)
     if known is None:
         received.totals[totals.key] = totals
@@ -235,7 +239,9 @@
 
     # Other daemons
 
-    def add_remote_usage(self, news: Mapping[int, float], now_s: float, silent_s: float = 0.0) -> None:
+    def add_remote_usage(
+        self, news: Mapping[int, float], now_s: float, silent_s: float = 0.0
+    ) -> None:
         """Count what other daemons have used in ``unheard_s``, after what has flowed in before.
 
         Of what was used over a longer time than a bucket takes to fill, the older part has flowed
@@ -270,7 +276,10 @@
         """Return the units that each tenant may use now."""
         for quota in self._quotas.values():
             self._refill(quota, now_s)
-        return {self._names[key]: quota.remaining(self.refill_share) for key, quota in self._quotas.items()}
+        return {
+            self._names[key]: quota.remaining(self.refill_share)
+            for key, quota in self._quotas.items()
+        }
 
     def set_refill_share(self, refill_share: RefillShare, now_s: float) -> None:
         """Count on a supply from now on.
--- a/winchfork/core/relay_fleet.py
+++ b/winchfork/core/relay_fleet.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from winchfork.core.relay_replica import RelayReplica, ReplicaListing, IncarnationState
+from winchfork.core.relay_replica import IncarnationState, RelayReplica, ReplicaListing
 from winchfork.core.replica_notice import AnswerNotice, NoticeChange, ReplicaNotice
 
 #: Incarnations that are remembered after they have left the list, since it may bring them back:
@@ -137,7 +137,9 @@
         """
         listed = self._replicas.get(replica.replica_id)
         if listed is not None and listed.superseded:
-            self._mark_current(replica.replica_id, replica.listing.address, IncarnationChangeCause.ANSWERED)
+            self._mark_current(
+                replica.replica_id, replica.listing.address, IncarnationChangeCause.ANSWERED
+            )
 
     def record_other_answered(self, asked: RelayReplica, answering_id: str = "") -> None:
         """Record that another incarnation answered at an address, ``by`` if its id is known.
@@ -147,8 +149,12 @@
         """
         listed = self._replicas.get(asked.replica_id)
         if listed is not None and listed.incarnation_state is not IncarnationState.ENDED:
-            self._set_state(listed, IncarnationState.ENDED, IncarnationChangeCause.OTHER_ANSWERED, answering_id)
-        self._mark_current(answering_id, asked.listing.address, IncarnationChangeCause.OTHER_ANSWERED)
+            self._set_state(
+                listed, IncarnationState.ENDED, IncarnationChangeCause.OTHER_ANSWERED, answering_id
+            )
+        self._mark_current(
+            answering_id, asked.listing.address, IncarnationChangeCause.OTHER_ANSWERED
+        )
 
     def _mark_current(self, replica_id: str, address: str, cause: IncarnationChangeCause) -> None:
         replica = self._replicas.get(replica_id)
@@ -165,7 +171,9 @@
         """
         in_place: dict[str, RelayReplica] = {}
         ended = IncarnationState.ENDED
-        candidates = [item for item in self._replicas.values() if item.incarnation_state is not ended]
+        candidates = [
+            item for item in self._replicas.values() if item.incarnation_state is not ended
+        ]
         for replica in candidates:
             known = in_place.get(replica.listing.address)
             if replica.is_in_service and (known is None or replica.recency > known.recency):
@@ -177,7 +185,11 @@
                 self._set_state(replica, standing, cause, heir.replica_id)
 
     def _set_state(
-        self, replica: RelayReplica, state: IncarnationState, cause: IncarnationChangeCause, current_id: str
+        self,
+        replica: RelayReplica,
+        state: IncarnationState,
+        cause: IncarnationChangeCause,
+        current_id: str,
     ) -> None:
         replica.incarnation_state = state
         self.on_incarnation_change(IncarnationChange(replica, cause, current_id))
--- a/winchfork/core/relay_placement.py
+++ b/winchfork/core/relay_placement.py
@@ -13,8 +13,8 @@
 
 from winchfork.core.part_index import PartIndex
 from winchfork.core.placement_request import PromptPlacementRequest, RelayDecision
-from winchfork.core.prompt_cost import prompt_cost_s
 from winchfork.core.prefill_plan import MIN_COPIED_TOKENS, PrefillPlanner
+from winchfork.core.prompt_cost import prompt_cost_s
 from winchfork.core.relay_replica import RelayReplica
 from winchfork.core.rendezvous import member_hash, mixed_order
 
--- a/winchfork/core/relay_replica.py
+++ b/winchfork/core/relay_replica.py
@@ -60,7 +60,9 @@
     @property
     def incarnation(self) -> int:
         """The 64-bit hash of the id and the start, by which peers name this incarnation."""
-        return member_hash(f"{self.replica_id}@{self.started_at_ms}" if self.started_at_ms else self.replica_id)
+        return member_hash(
+            f"{self.replica_id}@{self.started_at_ms}" if self.started_at_ms else self.replica_id
+        )
 
     def is_restart_of(self, earlier: ReplicaListing) -> bool:
         """Whether it is a later incarnation under the same id; one that does not say is none."""
@@ -211,7 +213,9 @@
     def record_failure_report(self, reporter: str, now_s: float) -> bool:
         """Record that a peer has ejected it; True when it is now left alone here as well."""
         self._failure_reported_at_s[reporter] = now_s
-        for peer in [key for key, at_s in self._failure_reported_at_s.items() if _is_expired(at_s, now_s)]:
+        for peer in [
+            key for key, at_s in self._failure_reported_at_s.items() if _is_expired(at_s, now_s)
+        ]:
             del self._failure_reported_at_s[peer]
         if now_s < self.ejected_until_s or len(self._failure_reported_at_s) < REPORTERS_TO_EJECT:
             return False
--- a/winchfork/core/replica_notice.py
+++ b/winchfork/core/replica_notice.py
@@ -128,7 +128,11 @@
 
         Draining that is not its own word to this daemon is a pause, with a trial at its end.
         """
-        pause_s = UNCONFIRMED_DRAINING_S if pause.draining else min(pause.backoff_s, MAX_REPORTED_BACKOFF_S)
+        pause_s = (
+            UNCONFIRMED_DRAINING_S
+            if pause.draining
+            else min(pause.backoff_s, MAX_REPORTED_BACKOFF_S)
+        )
         if self.draining or now_s + pause_s <= self.backoff_until_s:
             return False
         self._pause_until(now_s + pause_s)
--- a/winchfork/core/software_plan.py
+++ b/winchfork/core/software_plan.py
@@ -111,7 +111,9 @@
         return _return(state, view, limits)
     if view.stop_cause is StopCause.BAD:
         return RolloutStep(state.rolled_back(judged_bad=True), "the version is bad")
-    overspent = has_exhausted_budget(state, view.assessment, view.new_answers, view.all_answers, limits)
+    overspent = has_exhausted_budget(
+        state, view.assessment, view.new_answers, view.all_answers, limits
+    )
     if view.stop_cause is StopCause.BUDGET_EXHAUSTED or overspent:
         reason = "the budget is spent and the version not approved"
         return RolloutStep(state.rolled_back(judged_bad=False), reason)
@@ -228,7 +230,9 @@
     return new_answers >= MAX_UNAPPROVED_BUDGET_SHARE * (limits.share * all_answers + limits.slack)
 
 
-def _advance_trial(state: SoftwareState, view: RolloutView, limits: ExposureLimits) -> RolloutStep | None:
+def _advance_trial(
+    state: SoftwareState, view: RolloutView, limits: ExposureLimits
+) -> RolloutStep | None:
     """Begin the trial, correct its share, or write down how much time has passed."""
     wanted = min(MIN_TRIAL_REPLICAS, max(1, view.new_replicas))
     if view.new_replicas < wanted or not view.new_slots:
--- a/winchfork/core/store_outage.py
+++ b/winchfork/core/store_outage.py
@@ -69,7 +69,9 @@
         self._first_failure_s = None
         self._record_proof(at_s)
 
-    def record_peer_reply(self, peer_id: str, proven_at_s: float, asked_s: float, replied_s: float) -> None:
+    def record_peer_reply(
+        self, peer_id: str, proven_at_s: float, asked_s: float, replied_s: float
+    ) -> None:
         """Take in a peer's reply: when the store last answered it, and when the peer was asked."""
         if proven_at_s > self._proven_s:
             self._record_proof(proven_at_s)
@@ -97,7 +99,9 @@
             self._first_failure_s = None
         if self._first_fresh_failure_at_s <= at_s:
             self._first_fresh_failure_at_s = math.inf
-        later = {peer: asked_s for peer, asked_s in self._peers_agreed_at_s.items() if asked_s > at_s}
+        later = {
+            peer: asked_s for peer, asked_s in self._peers_agreed_at_s.items() if asked_s > at_s
+        }
         self._peers_agreed_at_s = later
 
     def _was_unreachable_until(self, at_s: float) -> bool:
--- a/winchfork/core/task_placement.py
+++ b/winchfork/core/task_placement.py
@@ -32,7 +32,9 @@
     connected: frozenset[int] | None = None
 
 
-def place_task(request: TaskPlacementRequest, candidates: Sequence[RelayReplica]) -> RelayDecision | None:
+def place_task(
+    request: TaskPlacementRequest, candidates: Sequence[RelayReplica]
+) -> RelayDecision | None:
     """Return the candidate expected to answer first, or None without candidates."""
     best: RelayDecision | None = None
     for replica in candidates:
--- a/winchfork/core/tenant_quota.py
+++ b/winchfork/core/tenant_quota.py
@@ -139,7 +139,9 @@
         """Whether so little is left that every daemon had better know soon."""
         return self._depth - self.used < LOW_LEVEL_SHARE * self._depth
 
-    def try_acquire(self, cost: float, refill_share: RefillShare, now_s: float) -> QuotaRefusal | None:
+    def try_acquire(
+        self, cost: float, refill_share: RefillShare, now_s: float
+    ) -> QuotaRefusal | None:
         """Use ``cost`` units, or say when to come back.
 
         One request may cost more than the burst: it is admitted when the burst is there, and the
--- a/winchfork/core/urgency.py
+++ b/winchfork/core/urgency.py
@@ -27,4 +27,6 @@
 def _penalty_levels(prefill_s: float, target_s: float) -> int:
     if target_s <= 0.0 or prefill_s <= SHORT_PREFILL_SHARE * target_s:
         return 0
-    return min(MAX_PENALTY_LEVELS, math.ceil(math.log2(prefill_s / (SHORT_PREFILL_SHARE * target_s))))
+    return min(
+        MAX_PENALTY_LEVELS, math.ceil(math.log2(prefill_s / (SHORT_PREFILL_SHARE * target_s)))
+    )
--- a/winchfork/core/version_evidence.py
+++ b/winchfork/core/version_evidence.py
@@ -196,7 +196,11 @@
             totals[fault] += ratio
         if max(totals.values()) <= APPROVAL_THRESHOLD:
             return Assessment.GOOD
-        return Assessment.PROBABLE if max(self._total_ratios.values()) <= PROBABLE_THRESHOLD else Assessment.INCONCLUSIVE
+        return (
+            Assessment.PROBABLE
+            if max(self._total_ratios.values()) <= PROBABLE_THRESHOLD
+            else Assessment.INCONCLUSIVE
+        )
 
 
 def expected_share(old: AnswerCounts, fault: Fault) -> float:
@@ -251,7 +255,9 @@
 
 
 def _without_worst(replicas: Mapping[int, CountsByRoute]) -> Iterable[CountsByRoute]:
-    left_out = math.ceil(WORST_SHARE * len(replicas)) if len(replicas) >= MIN_COMPARED_REPLICAS else 0
+    left_out = (
+        math.ceil(WORST_SHARE * len(replicas)) if len(replicas) >= MIN_COMPARED_REPLICAS else 0
+    )
     by_badness = sorted(replicas.items(), key=lambda item: (-_badness(item[1]), item[0]))
     return [routes for _, routes in by_badness[left_out:]]
 
--- a/winchfork/core/zone_reachability.py
+++ b/winchfork/core/zone_reachability.py
@@ -47,7 +47,9 @@
             zone for zone, heard_s in self._received_at_s.items() if now_s - heard_s > silence_s
         )
 
-    def detect_unreachable(self, now_s: float, silence_s: float = SILENCE_TIMEOUT_S) -> frozenset[str]:
+    def detect_unreachable(
+        self, now_s: float, silence_s: float = SILENCE_TIMEOUT_S
+    ) -> frozenset[str]:
         """Return the zones that this daemon itself finds out of reach."""
         return frozenset(
             zone
--- a/winchfork/emulator/sim_fleet.py
+++ b/winchfork/emulator/sim_fleet.py
@@ -20,7 +20,7 @@
     LOOKUP_TIMEOUT_S,
     MAX_PLACEMENTS_PER_REQUEST,
 )
-from winchfork.core.admission import AdmissionLimits, AdmissionQueue, Ticket, AdmissionOutcome
+from winchfork.core.admission import AdmissionLimits, AdmissionOutcome, AdmissionQueue, Ticket
 from winchfork.core.cache_index import CacheEvent, CacheIndex
 from winchfork.core.configuration import TrafficClass
 from winchfork.core.families import FamilyMap, add_blocks_above, keys_from_family
--- a/winchfork/gateway/admission_gate.py
+++ b/winchfork/gateway/admission_gate.py
@@ -6,7 +6,7 @@
 
 from winchfork.boot_clock import boot_seconds
 from winchfork.cluster.state import DaemonState
-from winchfork.core.admission import Ticket, AdmissionOutcome
+from winchfork.core.admission import AdmissionOutcome, Ticket
 from winchfork.errors import Failure, RunState
 from winchfork.gateway.caller import Waiter
 from winchfork.gateway.requests import CallerContext
--- a/winchfork/gateway/attempt_placement.py
+++ b/winchfork/gateway/attempt_placement.py
@@ -77,7 +77,9 @@
             replica = next(item for item in replicas if item.replica_id == decision.replica_id)
             identity = replica.identity
             source = self._state.fleet.get(decision.import_from)
-            replica.record_dispatch(attempt_id, decision.uncached_tokens, time.time(), urgent=urgent)
+            replica.record_dispatch(
+                attempt_id, decision.uncached_tokens, time.time(), urgent=urgent
+            )
         assert identity is not None
         if identity.weights_version != version:
             scope = CacheScope(context.tenant.name, request.model, identity.weights_version)
--- a/winchfork/platform/forwarded_headers.py
+++ b/winchfork/platform/forwarded_headers.py
@@ -16,7 +16,9 @@
 _LENGTH: Final = b"content-length"
 _EXTENSION_PREFIX: Final = b"x-"
 _OWNERS: Final = {name.lower(): owner for name, owner in names.HEADER_OWNERS.items()}
-_CALLER_HEADERS: Final = frozenset(name for name, owner in _OWNERS.items() if owner is HeaderOwner.CALLER)
+_CALLER_HEADERS: Final = frozenset(
+    name for name, owner in _OWNERS.items() if owner is HeaderOwner.CALLER
+)
 #: Headers of HTTP itself whose names begin like one of the wire's.
 _STANDARD: Final = frozenset({b"cache-control"})
 
--- a/winchfork/platform/store.py
+++ b/winchfork/platform/store.py
@@ -12,8 +12,8 @@
 from winchfork.core.store_position import StorePosition
 from winchfork.errors import Failure, FailureKind, RunState
 from winchfork.platform.store_headers import read_store_answer
-from winchfork.router.pooled_http_client import CallReply, PooledHttpClient
 from winchfork.router.http_types import AnswerHead
+from winchfork.router.pooled_http_client import CallReply, PooledHttpClient
 from winchfork.stores.async_key_value import (
     ExpectedRevision,
     OnStoreAnswer,
@@ -197,7 +197,9 @@
     return FailureKind.STORE_UNAVAILABLE.because(f"the store answered {reply.status}")
 
 
-def _decode(answer: _AnswerWithEra[bytes] | Failure, shape: type[_Shape]) -> _AnswerWithEra[_Shape] | Failure:
+def _decode(
+    answer: _AnswerWithEra[bytes] | Failure, shape: type[_Shape]
+) -> _AnswerWithEra[_Shape] | Failure:
     if isinstance(answer, Failure):
         return answer
     try:
--- a/winchfork/router/attempt.py
+++ b/winchfork/router/attempt.py
@@ -13,10 +13,10 @@
 from winchfork.router.caller_answer import CallerAnswer, StreamRelay
 from winchfork.router.header_codec import AnswerFields, HeaderCodec
 from winchfork.router.http_types import (
-    AnswerTruncated,
     AnswerData,
     AnswerEnd,
     AnswerHead,
+    AnswerTruncated,
     CallerDisconnected,
     MoveRequested,
     TimerFired,
@@ -95,7 +95,9 @@
     async def run(self) -> Outcome:
         """Send the request and follow its answer to the end."""
         plan = self.plan
-        plan.replica.record_sent(id(self), plan.prefill_tokens, plan.expected_end_at_s, plan.memory_tokens)
+        plan.replica.record_sent(
+            id(self), plan.prefill_tokens, plan.expected_end_at_s, plan.memory_tokens
+        )
         exchange = Exchange(self._inbox.put, self._is_own, plan.no_body, self._read_head)
         try:
             self._connection.start(plan.message, exchange)
--- a/winchfork/router/attempt_planner.py
+++ b/winchfork/router/attempt_planner.py
@@ -17,7 +17,7 @@
 from winchfork.core.task_placement import TaskPlacementRequest, place_task
 from winchfork.core.urgency import urgency_level
 from winchfork.router.attempt import AttemptPlan
-from winchfork.router.header_codec import HeaderCodec, DispatchFields
+from winchfork.router.header_codec import DispatchFields, HeaderCodec
 from winchfork.router.http_types import IncomingRequest, render_headers
 from winchfork.router.request_admission import AdmittedRequest
 from winchfork.router.state import RouterState
@@ -108,11 +108,15 @@
 
     def next_available_in_s(self, excluded: set[str]) -> float | None:
         """Return in how many seconds a replica will take work that takes none now."""
-        return self._state.replica_selector.next_available_in_s(self.service, excluded, on_target=self._on_target)
+        return self._state.replica_selector.next_available_in_s(
+            self.service, excluded, on_target=self._on_target
+        )
 
     def permit_openings(self, excluded: set[str]) -> list[PermitOpening] | None:
         """Return the places to come where every replica left has named a limit, else None."""
-        return self._state.replica_selector.permit_openings(self.service, excluded, on_target=self._on_target)
+        return self._state.replica_selector.permit_openings(
+            self.service, excluded, on_target=self._on_target
+        )
 
     def min_run_s(self) -> float:
         """Return how long a run of the request takes at least, as runs have taken lately."""
--- a/winchfork/router/caller_connection.py
+++ b/winchfork/router/caller_connection.py
@@ -38,7 +38,9 @@
         """Return the limits in force."""
         ...
 
-    def start_request(self, connection: CallerConnection, request: IncomingRequest) -> ActiveRequest:
+    def start_request(
+        self, connection: CallerConnection, request: IncomingRequest
+    ) -> ActiveRequest:
         """Start serving a request that has been read whole."""
         ...
 
--- a/winchfork/router/crash_tracker.py
+++ b/winchfork/router/crash_tracker.py
@@ -75,7 +75,9 @@
     def crash_count(self, digest: bytes) -> int:
         """Return how many replicas have ended under a request, or may have just now."""
         now_s = self._clock()
-        return self.ledger.crash_count(digest, now_s) + self._broken_runs.count_unconfirmed(digest, now_s)
+        return self.ledger.crash_count(digest, now_s) + self._broken_runs.count_unconfirmed(
+            digest, now_s
+        )
 
     async def wait_until_resolved(self, digest: bytes, ends_at_s: float) -> None:
         """Wait, where it matters to one try, until it is known whether replicas ended or live.
@@ -89,11 +91,16 @@
     def _is_unresolved(self, digest: bytes) -> bool:
         now_s = self._clock()
         unsettled = self._broken_runs.count_unconfirmed(digest, now_s)
-        return bool(unsettled) and self.ledger.crash_count(digest, now_s) + unsettled >= MAX_CRASHES_PER_ATTEMPT
+        return (
+            bool(unsettled)
+            and self.ledger.crash_count(digest, now_s) + unsettled >= MAX_CRASHES_PER_ATTEMPT
+        )
 
     def may_run(self, digest: bytes) -> bool:
         """Whether a request may be sent now; a suspect may not while a run of it is under way."""
-        return not self.crash_count(digest) or not self._suspect_runs.is_running(digest, self._clock())
+        return not self.crash_count(digest) or not self._suspect_runs.is_running(
+            digest, self._clock()
+        )
 
     def excluded_replicas(self, digest: bytes, replicas: Iterable[RelayReplica]) -> set[str]:
         """Return the ids of the replicas that a request may not be sent to now."""
--- a/winchfork/router/document_installer.py
+++ b/winchfork/router/document_installer.py
@@ -28,7 +28,11 @@
 from winchfork.router.leadership import Leadership
 from winchfork.router.refusal_records import is_refusal_key
 from winchfork.router.restored_entries import RestoredEntries
-from winchfork.router.software_records import is_software_record_key, decode_record, service_of_record
+from winchfork.router.software_records import (
+    decode_record,
+    is_software_record_key,
+    service_of_record,
+)
 from winchfork.router.state import RouterState
 from winchfork.stores.async_key_value import StoreItem
 
@@ -85,7 +89,9 @@
             self._install_replica(document, item.revision)
         elif isinstance(document, SoftwareOrder):
             position = StorePosition(era, item.revision)
-            self._state.software.install_order(document, position, found_at_start=not self.has_listed)
+            self._state.software.install_order(
+                document, position, found_at_start=not self.has_listed
+            )
         elif isinstance(document, ReplicaRemoved):
             self._handle_removed_replica(document.replica_id, item)
 
@@ -126,7 +132,9 @@
         self._restored.forget(replica_id)
         replica = self._state.fleet.get(replica_id)
         if item.missing_after_outage and replica is not None and replica.is_in_service:
-            self._state.missing_until_s.setdefault(replica_id, self._state.clock() + RELISTING_GRACE_S)
+            self._state.missing_until_s.setdefault(
+                replica_id, self._state.clock() + RELISTING_GRACE_S
+            )
         else:
             self._remove_replica(replica_id, item.revision)
 
@@ -141,7 +149,9 @@
                 tenants=len(table.tenants),
             )
 
-    def _install_weights_target(self, target: WeightsTarget, revision: int, date: EntryDate) -> None:
+    def _install_weights_target(
+        self, target: WeightsTarget, revision: int, date: EntryDate
+    ) -> None:
         history = self._state.weights_versions.setdefault(target.model, VersionHistory())
         if history.add(target.version, date.written_at_s, assumed=date.assumed):
             log_event(
--- a/winchfork/router/document_relay.py
+++ b/winchfork/router/document_relay.py
@@ -93,7 +93,9 @@
         A leader's renewals, orders and writes are calls to the store, or to replicas beside it.
         """
         view = self._peers.view
-        return view.is_full_mesh or (view.is_hub and view.is_near_store) or not self.is_relay_current
+        return (
+            view.is_full_mesh or (view.is_hub and view.is_near_store) or not self.is_relay_current
+        )
 
     def broadcast(self, update: TableUpdate) -> None:
         """Tell other hubs and the daemons of this zone what the store has said; hubs alone do.
--- a/winchfork/router/documents.py
+++ b/winchfork/router/documents.py
@@ -34,7 +34,12 @@
 
 
 Document = (
-    RoutingTable | WeightsTarget | ReplicaListing | ReplicaRemoved | UnreadableReplica | SoftwareOrder
+    RoutingTable
+    | WeightsTarget
+    | ReplicaListing
+    | ReplicaRemoved
+    | UnreadableReplica
+    | SoftwareOrder
 )
 
 
--- a/winchfork/router/evidence_exchange.py
+++ b/winchfork/router/evidence_exchange.py
@@ -18,8 +18,8 @@
 from winchfork.core.version_evidence import (
     Alarm,
     AnswerCounts,
-    Evidence,
     Assessment,
+    Evidence,
     VersionTest,
 )
 from winchfork.logs import log_event
@@ -160,7 +160,9 @@
     def _received_for(self, service: str, order_revision: int) -> _ReceivedEvidence:
         heard = self._received.get(service)
         if heard is not None:
-            heard.order_revision = self._versions.current_order_number(service, heard.order_revision)
+            heard.order_revision = self._versions.current_order_number(
+                service, heard.order_revision
+            )
         if heard is None or heard.order_revision != order_revision:
             heard = self._received[service] = _ReceivedEvidence(order_revision)
         return heard
@@ -240,15 +242,21 @@
         elif self._has_overspent(record, heard.test.assessment, evidence):
             self._stop(record, heard, StopCause.BUDGET_EXHAUSTED, now_s)
 
-    def _has_overspent(self, record: SoftwareState, opinion: Assessment, evidence: Evidence) -> bool:
+    def _has_overspent(
+        self, record: SoftwareState, opinion: Assessment, evidence: Evidence
+    ) -> bool:
         """Whether the leader would roll back a version that moved without approval.
 
         Every judge looks, since there may be no leader just then.
         """
         limits = self._state.settings.bounds.exposure
-        return has_exhausted_budget(record, opinion, evidence.new_answers, evidence.all_answers, limits)
+        return has_exhausted_budget(
+            record, opinion, evidence.new_answers, evidence.all_answers, limits
+        )
 
-    def _stop(self, record: SoftwareState, heard: _ReceivedEvidence, cause: StopCause, now_s: float) -> None:
+    def _stop(
+        self, record: SoftwareState, heard: _ReceivedEvidence, cause: StopCause, now_s: float
+    ) -> None:
         own_id = self._state.settings.node_id
         self._versions.stop(record.service, record.order_revision, cause, reported_by=own_id)
         self._broadcast_stop(record, heard, cause, now_s)
--- a/winchfork/router/http_types.py
+++ b/winchfork/router/http_types.py
@@ -136,4 +136,12 @@
     replica_id: str
 
 
-RequestEvent = AnswerHead | AnswerData | AnswerEnd | AnswerTruncated | CallerDisconnected | TimerFired | MoveRequested
+RequestEvent = (
+    AnswerHead
+    | AnswerData
+    | AnswerEnd
+    | AnswerTruncated
+    | CallerDisconnected
+    | TimerFired
+    | MoveRequested
+)
--- a/winchfork/router/leadership.py
+++ b/winchfork/router/leadership.py
@@ -1,8 +1,8 @@
 """A leased, fenced leadership held by at most one router process at a time.
 
 The store keeps one entry under a lease; its revision is the fence, which rises with every change of
-holder (:mod:`winchfork.core.fence_registry` over the store's returns from copies). A holder acts only
-within ``ACT_S`` of the start of its last renewal, by its own monotonic clock, and the lease
+holder (:mod:`winchfork.core.fence_registry` over the store's returns from copies). A holder acts
+only within ``ACT_S`` of the start of its last renewal, by its own monotonic clock, and the lease
 outlives that. A new holder waits until orders of the one before it are at least the deployment's
 lease bound old: the time that the lease outlived the other's last possible order already counts.
 
@@ -89,7 +89,11 @@
         """
         if position < self._newest_position:
             return
-        if self.fence and position.era == self._holder_position.era and position > self._holder_position:
+        if (
+            self.fence
+            and position.era == self._holder_position.era
+            and position > self._holder_position
+        ):
             self._step_down("another holder's entry")
         self._is_restored = self._is_first_of_era(position) or (
             self._is_restored and position == self._newest_position
--- a/winchfork/router/limit_registry.py
+++ b/winchfork/router/limit_registry.py
@@ -40,7 +40,9 @@
         self._limited: dict[int, RelayReplica] = {}
         #: Told of each limit that one of this daemon's own answers began, changed or ended, and of
         #: each answer that named one again.
-        self.on_limit_received: Callable[[RelayReplica, LimitChange], None] = lambda replica, change: None
+        self.on_limit_received: Callable[[RelayReplica, LimitChange], None] = (
+            lambda replica, change: None
+        )
 
     def limited_replicas(self, service: str) -> list[RelayReplica]:
         """Return the service's replicas that have named a limit."""
@@ -48,7 +50,9 @@
 
     def limits_by_replica(self) -> dict[str, float]:
         """Return the limit of each replica that names one, in requests a second."""
-        return {replica.replica_id: replica.notice.limit.per_s or 0.0 for replica in self._all_limited()}
+        return {
+            replica.replica_id: replica.notice.limit.per_s or 0.0 for replica in self._all_limited()
+        }
 
     def _all_limited(self) -> list[RelayReplica]:
         fleet = self._state.fleet
@@ -65,7 +69,9 @@
 
     # Own answers
 
-    def record_limit(self, replica: RelayReplica, per_s: float, sent_s: float | None = None) -> None:
+    def record_limit(
+        self, replica: RelayReplica, per_s: float, sent_s: float | None = None
+    ) -> None:
         """Take in that an answer of a replica names a limit, of a request that was sent then."""
         limit = replica.notice.limit
         if sent_s is not None and limit.has_ended_since(sent_s):
@@ -88,7 +94,9 @@
 
     # Peers
 
-    def handle_peer_report(self, sender_id: str, replica: RelayReplica, report: ReportedLimit) -> None:
+    def handle_peer_report(
+        self, sender_id: str, replica: RelayReplica, report: ReportedLimit
+    ) -> None:
         """Take in what a peer has heard."""
         limit = replica.notice.limit
         was_per_s = limit.per_s
@@ -127,7 +135,9 @@
         own_id = self._state.settings.node_id
         # One that is not counted, since it stops, comes last.
         place = order.index(own_id) if own_id in order else len(order)
-        replica.notice.limit.set_position(LimitPosition(place, len(order)), self._daemons_changed_at_s + STABILIZATION_S)
+        replica.notice.limit.set_position(
+            LimitPosition(place, len(order)), self._daemons_changed_at_s + STABILIZATION_S
+        )
 
     def _rank_daemons(self, replica: RelayReplica) -> list[str]:
         """Return the daemons, the nearest to a replica first: to others it is the dearer one."""
--- a/winchfork/router/notice_exchange.py
+++ b/winchfork/router/notice_exchange.py
@@ -82,13 +82,17 @@
             if replica is not None:
                 self._apply_entry(message.sender_id, replica, note)
 
-    def _apply_entry(self, sender_id: str, replica: RelayReplica, entry: ReplicaNoticeEntry) -> None:
+    def _apply_entry(
+        self, sender_id: str, replica: RelayReplica, entry: ReplicaNoticeEntry
+    ) -> None:
         pause = ReportedPause(entry.draining, entry.backoff_ms / 1000.0)
         if not pause.is_empty:
             self._state.notices.handle_peer_report(sender_id, replica, pause)
         if entry.limit is not None:
             heard_s = self._state.clock() - entry.limit.age_ms / 1000.0
-            self._state.limits.handle_peer_report(sender_id, replica, ReportedLimit(entry.limit.per_s, heard_s))
+            self._state.limits.handle_peer_report(
+                sender_id, replica, ReportedLimit(entry.limit.per_s, heard_s)
+            )
 
     # What this daemon hears itself
 
@@ -125,13 +129,18 @@
     def _discard_old(self, now_s: float) -> None:
         """Keep only what may still hold back a retelling: replicas come and go for months."""
         self._announced_at_s = {
-            key: at_s for key, at_s in self._announced_at_s.items() if now_s - at_s < 2 * RESEND_INTERVAL_S
+            key: at_s
+            for key, at_s in self._announced_at_s.items()
+            if now_s - at_s < 2 * RESEND_INTERVAL_S
         }
 
     def _flush(self) -> None:
         news, self._pending = list(self._pending.values()), {}
         for first in range(0, len(news), MAX_ENTRIES_PER_MESSAGE):
-            notes = tuple(self._entry_for(replica) for replica in news[first : first + MAX_ENTRIES_PER_MESSAGE])
+            notes = tuple(
+                self._entry_for(replica)
+                for replica in news[first : first + MAX_ENTRIES_PER_MESSAGE]
+            )
             self._peers.broadcast(ReplicaNotices(self._state.settings.node_id, notes))
         for replica in news:
             key = replica.order_hash
@@ -153,4 +162,6 @@
 
 
 def _resend_interval_s(replica: RelayReplica) -> float:
-    return RESEND_INTERVAL_S + min(RESEND_INTERVAL_S, RANK_DELAY_S * replica.notice.limit.position.rank)
+    return RESEND_INTERVAL_S + min(
+        RESEND_INTERVAL_S, RANK_DELAY_S * replica.notice.limit.position.rank
+    )
--- a/winchfork/router/notice_registry.py
+++ b/winchfork/router/notice_registry.py
@@ -27,7 +27,9 @@
     def __init__(self, state: RouterState) -> None:
         self._state = state
         self._unreadable_log_limiter = LogRateLimit()
-        self._unknown_headers = UnknownHeaderCounter(state.metrics.unknown_headers, MAX_UNKNOWN_HEADERS)
+        self._unknown_headers = UnknownHeaderCounter(
+            state.metrics.unknown_headers, MAX_UNKNOWN_HEADERS
+        )
         self._peer_reports = PeerReports()
         #: Told of each replica that has said to this daemon that it drains or wants a pause.
         self.on_notice_received: Callable[[RelayReplica], None] = lambda replica: None
@@ -69,7 +71,9 @@
         if listed is not None and listed is not replica:
             self.adopt(listed)
 
-    def handle_peer_report(self, sender_id: str, replica: RelayReplica, report: ReportedPause) -> None:
+    def handle_peer_report(
+        self, sender_id: str, replica: RelayReplica, report: ReportedPause
+    ) -> None:
         """Take in what a replica has said to a peer."""
         now_s = self._state.clock()
         service = self._state.fleet.of_service(replica.listing.service)
--- a/winchfork/router/peer_wiring.py
+++ b/winchfork/router/peer_wiring.py
@@ -12,20 +12,20 @@
 from winchfork.router.leadership import Leadership
 from winchfork.router.notice_exchange import NoticeExchange
 from winchfork.router.peer_messages import (
-    FailureReport,
     Activity,
     ClearedRequests,
+    CrashReport,
     DocumentPart,
     DocumentPull,
-    CrashReport,
     EraDocumentPart,
     EraDocumentPull,
+    FailureReport,
     FleetWork,
-    VersionAges,
     RegionWork,
     ReplicaNotices,
     Resignation,
     SuspectRunReport,
+    VersionAges,
     VersionEvidence,
     VersionStop,
     WeightsProgress,
@@ -67,7 +67,8 @@
     peers.register_handler(VersionAges, news.handle_version_ages)
     peers.register_handler(Resignation, leadership.handle_resignation)
     peers.register_handler(
-        FailureReport, lambda message: state.record_failure_report(message.replica_hash, message.sender_id)
+        FailureReport,
+        lambda message: state.record_failure_report(message.replica_hash, message.sender_id),
     )
     state.on_ejected = lambda replica: peers.broadcast(
         FailureReport(state.settings.node_id, replica.order_hash)
--- a/winchfork/router/peers.py
+++ b/winchfork/router/peers.py
@@ -67,7 +67,7 @@
 
 
 class PeerGroup(asyncio.DatagramProtocol):
-    """This process among its peers; implements :class:`winchfork.router.peer_messenger.PeerPort`."""
+    """This process among its peers; implements :class:`.peer_messenger.PeerMessenger`."""
 
     def __init__(self, state: RouterState, generator: random.Random) -> None:
         settings = state.settings
@@ -142,7 +142,9 @@
             for listener in self.on_tick:
                 listener(now_s)
 
-    def register_handler(self, message_type: type[_Message], handler: Callable[[_Message], None]) -> None:
+    def register_handler(
+        self, message_type: type[_Message], handler: Callable[[_Message], None]
+    ) -> None:
         """Give messages of one type to ``handler``."""
         self._handlers[message_type] = handler
 
@@ -233,7 +235,11 @@
 
     @property
     def _tick_period_s(self) -> float:
-        return HUB_TICK_PERIOD_S if self._view.is_hub and not self._view.is_full_mesh else TICK_PERIOD_S
+        return (
+            HUB_TICK_PERIOD_S
+            if self._view.is_hub and not self._view.is_full_mesh
+            else TICK_PERIOD_S
+        )
 
     @property
     def _informant_period_s(self) -> float:
@@ -297,7 +303,9 @@
 
     def _is_duplicate(self, datagram: bytes) -> bool:
         now_s = self._loop.time()
-        for digest in [key for key, at_s in self._forwarded.items() if _is_forward_expired(at_s, now_s)]:
+        for digest in [
+            key for key, at_s in self._forwarded.items() if _is_forward_expired(at_s, now_s)
+        ]:
             del self._forwarded[digest]
         digest = xxhash.xxh3_64_intdigest(datagram)
         if digest in self._forwarded:
@@ -317,7 +325,9 @@
         era = (position.era,) if position.era else ()
         return (position.revision, int(min(age_s, _NO_PROOF_AGE_S) * 1000) + 1, *era)
 
-    def _handle_proof(self, sender: Member, revisions: tuple[int, ...], requested_at_s: float) -> None:
+    def _handle_proof(
+        self, sender: Member, revisions: tuple[int, ...], requested_at_s: float
+    ) -> None:
         """Adopt a peer's proof, dated from the question: however late the answer is read.
 
         It counts only here if everything up to the peer's position is known here as well, and if
@@ -331,7 +341,9 @@
         position = StorePosition(revisions[2] if len(revisions) == 3 else 0, revisions[0])
         proven_s = requested_at_s - revisions[1] / 1000.0
         now_s = self._loop.time()
-        self._state.store_outage.record_peer_reply(sender.member_id, proven_s, requested_at_s, now_s)
+        self._state.store_outage.record_peer_reply(
+            sender.member_id, proven_s, requested_at_s, now_s
+        )
         self._state.eras.advance_to(position.era, reported_by=sender.member_id)
         if position > self._state.store_position:
             self.on_position(sender.peer_address, position)
--- a/winchfork/router/pooled_http_client.py
+++ b/winchfork/router/pooled_http_client.py
@@ -10,10 +10,10 @@
 from winchfork.errors import Failure, FailureKind
 from winchfork.router.connection_pool import ConnectionPool
 from winchfork.router.http_types import (
-    AnswerTruncated,
     AnswerData,
     AnswerEnd,
     AnswerHead,
+    AnswerTruncated,
     Headers,
     RequestEvent,
     render_headers,
--- a/winchfork/router/process.py
+++ b/winchfork/router/process.py
@@ -23,13 +23,13 @@
 from winchfork.router.boot_clock import BootClockLoop
 from winchfork.router.caller_connection import CallerConnection
 from winchfork.router.connection_pool import ConnectionPool
-from winchfork.router.header_codec import HeaderCodec
 from winchfork.router.documents import DocumentReader, StatusWriter
-from winchfork.router.pooled_http_client import PooledHttpClient
+from winchfork.router.header_codec import HeaderCodec
 from winchfork.router.leadership import Leadership
 from winchfork.router.log_output import LogOutput
 from winchfork.router.peer_wiring import connect_peers
 from winchfork.router.peers import PeerGroup
+from winchfork.router.pooled_http_client import PooledHttpClient
 from winchfork.router.refusal_writer import RefusalWriter
 from winchfork.router.service import RouterService
 from winchfork.router.settings import RouterSettings
@@ -89,9 +89,13 @@
             self._call_pool, lambda label: self.state.metrics.calls.labels(label).inc()
         )
         self.service = RouterService(self.state, self._replica_pool, adapters.header_codec)
-        store = adapters.make_store(self._http_client, settings.store_address, self.state.eras.handle_answer)
+        store = adapters.make_store(
+            self._http_client, settings.store_address, self.state.eras.handle_answer
+        )
         self._peers = PeerGroup(self.state, generator)
-        self._peers.store_delay_s = lambda: self._call_pool.min_connect_s.get(settings.store_address)
+        self._peers.store_delay_s = lambda: self._call_pool.min_connect_s.get(
+            settings.store_address
+        )
         self._leadership = Leadership(
             store,
             settings.node_id,
@@ -195,8 +199,16 @@
         show("parts_believed", "Parts believed to be kept.", lambda: len(state.parts))
         show("daemons", "Daemons that budgets are shared among.", lambda: state.daemon_count)
         ledger = state.crashes.ledger
-        show("requests_suspected", "Requests under which replicas ended.", lambda: ledger.suspected_count)
-        show("requests_barred", "Requests refused as they end replicas.", lambda: ledger.refused_count)
+        show(
+            "requests_suspected",
+            "Requests under which replicas ended.",
+            lambda: ledger.suspected_count,
+        )
+        show(
+            "requests_barred",
+            "Requests refused as they end replicas.",
+            lambda: ledger.refused_count,
+        )
         show(
             "store_revision",
             "Everything before it is known.",
@@ -296,7 +308,10 @@
 
 
 def run_router(
-    settings: RouterSettings, adapters: RouterAdapters, read_settings: ReadSettings, started_s: float
+    settings: RouterSettings,
+    adapters: RouterAdapters,
+    read_settings: ReadSettings,
+    started_s: float,
 ) -> int:
     """Run one router process, which began at ``started_s``, to its end."""
     output = LogOutput()
--- a/winchfork/router/quota_gate.py
+++ b/winchfork/router/quota_gate.py
@@ -33,7 +33,9 @@
 class QuotaGate:
     """Lets requests through, or says when to come back."""
 
-    def __init__(self, ledger: QuotaLedger, clock: Callable[[], float], metrics: RouterMetrics) -> None:
+    def __init__(
+        self, ledger: QuotaLedger, clock: Callable[[], float], metrics: RouterMetrics
+    ) -> None:
         self._ledger = ledger
         self._clock = clock
         self._metrics = metrics
--- a/winchfork/router/refusal_records.py
+++ b/winchfork/router/refusal_records.py
@@ -133,7 +133,9 @@
     def _install_refusal(self, record: RefusalRecord) -> None:
         for_s = self._ledger.refusal_s(record.times)
         age_s = max(0.0, self._wall_clock() - record.refused_ms / 1000.0)
-        if age_s > for_s + REPEATED_REFUSAL_S or record.times < self._ledger.times_refused(record.digest):
+        if age_s > for_s + REPEATED_REFUSAL_S or record.times < self._ledger.times_refused(
+            record.digest
+        ):
             return
         now_s = self._clock()
         if age_s < for_s and not self._ledger.is_refused(record.digest, now_s):
--- a/winchfork/router/region_exchange.py
+++ b/winchfork/router/region_exchange.py
@@ -61,7 +61,9 @@
             use = ZoneQuotaUse(message.sender_id, message.zone, message.quota, message.levels)
             self._pending_uses = [*self._pending_uses[-MAX_PENDING_USES + 1 :], use]
 
-    def send_region_work(self, region_loads: Callable[[], tuple[ReplicaLoadEntry, ...]], now_s: float) -> None:
+    def send_region_work(
+        self, region_loads: Callable[[], tuple[ReplicaLoadEntry, ...]], now_s: float
+    ) -> None:
         """Tell other regions of this one, where this daemon is the one to do so and it is time.
 
         ``region_loads`` adds up the work of the region.
--- a/winchfork/router/relayed_request.py
+++ b/winchfork/router/relayed_request.py
@@ -16,33 +16,33 @@
 from winchfork.errors import Failure, FailureKind, RunState
 from winchfork.logs import log_event
 from winchfork.router.attempt import Attempt
-from winchfork.router.outcome_recorder import OutcomeRecorder
+from winchfork.router.attempt_planner import AttemptPlanner
 from winchfork.router.caller_answer import CallerAnswer
 from winchfork.router.crash_tracker import MAX_CRASHES_PER_ATTEMPT
-from winchfork.router.attempt_planner import AttemptPlanner
 from winchfork.router.http_types import (
     CallerDisconnected,
     IncomingRequest,
     TimerFired,
 )
 from winchfork.router.inbox import Inbox
+from winchfork.router.outcome_recorder import OutcomeRecorder
 from winchfork.router.outcomes import (
-    StaleChoice,
     Delivered,
     MayHaveRun,
     Moved,
     NotRun,
     Outcome,
+    StaleChoice,
     StopCause,
     Stopped,
 )
 from winchfork.router.quota_gate import QuotaCharge
 from winchfork.router.refusals import refusal_answer
-from winchfork.router.request_retries import RequestRetries
 from winchfork.router.replica_connection import ReplicaConnection
 from winchfork.router.replica_search import DEADLINE, ReplicaSearch
 from winchfork.router.request_admission import AdmittedRequest
 from winchfork.router.request_record import RequestRecord
+from winchfork.router.request_retries import RequestRetries
 from winchfork.router.stream_moves import StreamMoves
 
 if TYPE_CHECKING:
@@ -78,7 +78,9 @@
         self._answer = CallerAnswer(connection)
         self._connection = connection
         self._service_name = self._state.choose_service(admitted.route)
-        self._planner = AttemptPlanner(service.state, service.header_codec, request, admitted, self._service_name)
+        self._planner = AttemptPlanner(
+            service.state, service.header_codec, request, admitted, self._service_name
+        )
         self._outcome_recorder = OutcomeRecorder(service.state, admitted, self._service_name)
         ends_at_s = request.received_at_s + self._time_allowed_s()
         self._attempted: set[str] = set()
@@ -153,7 +155,9 @@
                 return
             outcome = await self._attempt(decision)
             if isinstance(outcome, MayHaveRun):
-                await self._crashes.wait_until_resolved(self._admitted.digest, self._retries.ends_at_s)
+                await self._crashes.wait_until_resolved(
+                    self._admitted.digest, self._retries.ends_at_s
+                )
             if not self._handle_outcome(decision.replica, outcome):
                 return
 
@@ -285,7 +289,9 @@
             self._answered_by_replica = True
             self._answer.send_buffered(outcome.answer)
         else:
-            self._answer_failure(FailureKind.OUTCOME_UNKNOWN.because(outcome.reason, ran=RunState.UNKNOWN))
+            self._answer_failure(
+                FailureKind.OUTCOME_UNKNOWN.because(outcome.reason, ran=RunState.UNKNOWN)
+            )
         return False
 
     def _run_state(self) -> RunState:
--- a/winchfork/router/replica_connection.py
+++ b/winchfork/router/replica_connection.py
@@ -16,10 +16,10 @@
 import msgspec
 
 from winchfork.router.http_types import (
-    AnswerTruncated,
     AnswerData,
     AnswerEnd,
     AnswerHead,
+    AnswerTruncated,
     Headers,
     RequestEvent,
     find_header,
@@ -147,7 +147,12 @@
 
     def eof_received(self) -> bool:
         """An orderly end completes an answer without framing and tears every other."""
-        if self._exchange is not None and self._in_answer and self._is_own_answer and self._until_close:
+        if (
+            self._exchange is not None
+            and self._in_answer
+            and self._is_own_answer
+            and self._until_close
+        ):
             self._complete(reusable=False)
         return False
 
--- a/winchfork/router/replica_search.py
+++ b/winchfork/router/replica_search.py
@@ -24,8 +24,8 @@
 from winchfork.router.http_types import CallerDisconnected, TimerFired
 from winchfork.router.inbox import Inbox
 from winchfork.router.outcomes import StopCause, Stopped
-from winchfork.router.request_retries import RequestRetries
 from winchfork.router.request_admission import AdmittedRequest
+from winchfork.router.request_retries import RequestRetries
 from winchfork.router.state import RouterState
 
 #: Pause between looks for a replica while none is available.
@@ -133,7 +133,7 @@
         opens_s = permit_in_s(permits, self._queue.ahead(self._ticket))
         if decision is not None and opens_s <= 0.0:
             return decision
-        patient_s = max_wait_s(permits, self._admitted.route.target_latency_s)
+        patient_s = max_permit_wait_s(permits, self._admitted.route.target_latency_s)
         waited_s = self._retries.waited_s
         return _Availability(max(opens_s, POLL_INTERVAL_S), min(max_wait_s, patient_s - waited_s))
 
--- a/winchfork/router/replica_selector.py
+++ b/winchfork/router/replica_selector.py
@@ -143,7 +143,10 @@
 
     def _weights_allowed(self, replica: RelayReplica, prompt: Prompt, now_s: float) -> bool:
         """Whether a request sent now will begin before the replica's weights are too old."""
-        tokens = QUEUE_MARGIN_FACTOR * replica.queued_prefill_tokens + PROMPT_MARGIN_FACTOR * prompt.prompt_tokens
+        tokens = (
+            QUEUE_MARGIN_FACTOR * replica.queued_prefill_tokens
+            + PROMPT_MARGIN_FACTOR * prompt.prompt_tokens
+        )
         known_rate = self._state.engine_speed(replica.listing.service).prefill_tokens_per_s
         margin_s = START_MARGIN_S + tokens / min(PRIOR_PREFILL_TOKENS_PER_S, known_rate)
         due_s = self.weights_expire_at_s(prompt.model, replica.versions.get(prompt.model, 0))
--- a/winchfork/router/service.py
+++ b/winchfork/router/service.py
@@ -66,7 +66,9 @@
         """Forget a connection."""
         self._connections.discard(connection)
 
-    def start_request(self, connection: CallerConnection, request: IncomingRequest) -> ActiveRequest:
+    def start_request(
+        self, connection: CallerConnection, request: IncomingRequest
+    ) -> ActiveRequest:
         """Admit and start a request, or refuse it at once."""
         if self.state.stopping:
             connection.close_after_answer = True
--- a/winchfork/router/software_rollout.py
+++ b/winchfork/router/software_rollout.py
@@ -27,7 +27,7 @@
 from winchfork.router.leader_entry import LEADER_KEY
 from winchfork.router.leadership import Leadership
 from winchfork.router.quota_exchange import SILENCE_S, daemon_memory_s
-from winchfork.router.software_records import software_record_key, encode_record
+from winchfork.router.software_records import encode_record, software_record_key
 from winchfork.router.state import RouterState
 from winchfork.stores.async_key_value import AsyncKeyValueStore, ExpectedRevision, PutItem
 
@@ -169,7 +169,9 @@
 
         What was there when this daemon started is older than it looks.
         """
-        found_s = ASSUMED_AGE_AT_START_S if self._versions.was_found_at_start(seen.revision) else 0.0
+        found_s = (
+            ASSUMED_AGE_AT_START_S if self._versions.was_found_at_start(seen.revision) else 0.0
+        )
         return self._state.clock() - seen.since_s + found_s
 
     def _left_s(self, record: SoftwareState, elapsed_s: float) -> float:
@@ -244,7 +246,9 @@
         self._next_check_s[service] = self._state.clock() + WRITE_PAUSE_S
 
 
-def _record_first_seen(seen: dict[str, _FirstSeen], service: str, revision: int, now_s: float) -> None:
+def _record_first_seen(
+    seen: dict[str, _FirstSeen], service: str, revision: int, now_s: float
+) -> None:
     known = seen.get(service)
     if known is None or known.revision != revision:
         seen[service] = _FirstSeen(revision, now_s)
--- a/winchfork/router/software_versions.py
+++ b/winchfork/router/software_versions.py
@@ -22,8 +22,8 @@
     SoftwareState,
     StopCause,
     VersionRule,
-    select_trial_replicas,
     infer_in_force,
+    select_trial_replicas,
     version_rule,
 )
 from winchfork.core.store_position import StorePosition
@@ -280,7 +280,9 @@
             return None
         return stop.cause
 
-    def stop(self, service: str, order_revision: int, cause: StopCause, *, reported_by: str) -> None:
+    def stop(
+        self, service: str, order_revision: int, cause: StopCause, *, reported_by: str
+    ) -> None:
         """Send the target nothing more, whatever the record says."""
         order_revision = self.current_order_number(service, order_revision)
         known, state = self._stops.get(service), self._records.get(service)
--- a/winchfork/router/state.py
+++ b/winchfork/router/state.py
@@ -7,16 +7,16 @@
 from collections.abc import Callable
 
 from winchfork.core.broken_runs import CrashEvidence
+from winchfork.core.cached_parts_backlog import CachedPartsBacklog
 from winchfork.core.engine_speed import EngineSpeed
 from winchfork.core.freshness import Freshness
-from winchfork.core.cached_parts_backlog import CachedPartsBacklog
 from winchfork.core.part_index import PartIndex
 from winchfork.core.permit_queue import PermitQueue
 from winchfork.core.placement_request import CacheStoreChoice
 from winchfork.core.prompt_parts import Prompt
 from winchfork.core.quota_ledger import QuotaLedger
 from winchfork.core.region_delay import RegionDelay
-from winchfork.core.relay_fleet import RelayFleet, IncarnationChange
+from winchfork.core.relay_fleet import IncarnationChange, RelayFleet
 from winchfork.core.relay_replica import RelayReplica, ReplicaListing
 from winchfork.core.routing import Route, RoutingTable, TrafficSplitter
 from winchfork.core.sliding_retry_budget import RetryAllowance, SlidingRetryBudget
@@ -162,7 +162,11 @@
     @property
     def ready(self) -> bool:
         """Whether this process wants callers."""
-        return not self.stopping and self.routing_table is not None and self.zone_outage_handler.can_keep_serving
+        return (
+            not self.stopping
+            and self.routing_table is not None
+            and self.zone_outage_handler.can_keep_serving
+        )
 
     def choose_service(self, route: Route) -> str:
         """Return the service whose turn it is, or another part when it has no replica."""
--- a/winchfork/router/weights_announcer.py
+++ b/winchfork/router/weights_announcer.py
@@ -53,7 +53,14 @@
             return
         self._held_until_s[replica.order_hash] = now_s + hold_s
         renewal = left_s > RENEWAL_BATCH_WINDOW_S
-        self._enqueue(replica, model, fence, hold_s, 0.0, RENEWAL_BATCH_WINDOW_S if renewal else BATCH_WINDOW_S)
+        self._enqueue(
+            replica,
+            model,
+            fence,
+            hold_s,
+            0.0,
+            RENEWAL_BATCH_WINDOW_S if renewal else BATCH_WINDOW_S,
+        )
 
     def release(self, replica: RelayReplica, model: str, fence: int) -> None:
         """End a hold and tell the replica's version."""
--- a/winchfork/router/weights_rollout.py
+++ b/winchfork/router/weights_rollout.py
@@ -17,7 +17,7 @@
     ReplicaReport,
     WeightsOrder,
 )
-from winchfork.core.relay_replica import RelayReplica, IncarnationState
+from winchfork.core.relay_replica import IncarnationState, RelayReplica
 from winchfork.core.weight_rollout import LoadingReplica, LoadPace, next_step
 from winchfork.errors import Failure, RunState
 from winchfork.logs import log_event
@@ -25,8 +25,8 @@
 from winchfork.router.peers import PeerGroup
 from winchfork.router.replica_selector import START_MARGIN_S
 from winchfork.router.state import RouterState
-from winchfork.router.weights_exchange import WeightsExchange
 from winchfork.router.weights_announcer import WeightsAnnouncer
+from winchfork.router.weights_exchange import WeightsExchange
 
 POLL_PERIOD_S = 0.1
 #: Pause between reports while a replica finishes its requests and loads.
--- a/winchfork/router/work_exchange.py
+++ b/winchfork/router/work_exchange.py
@@ -16,8 +16,8 @@
 from winchfork.core.zone_reachability import SILENCE_TIMEOUT_S
 from winchfork.router.peer_messages import (
     Activity,
-    FleetWork,
     CachedPartsEntry,
+    FleetWork,
     RegionWork,
     ReplicaLoadEntry,
     ZoneWork,
@@ -31,9 +31,9 @@
     LoadsByReplica,
     ReceivedLoads,
     SentLoads,
-    sum_loads,
     busy_steps,
     load_entries,
+    sum_loads,
 )
 
 #: In a large fleet the hubs hear of new work within this time.
@@ -105,7 +105,12 @@
         is_old = bool(loads) and now_s - self._sent_at_s > RESEND_INTERVAL_S
         is_silent = view.is_full_mesh and now_s - self._sent_at_s > RESEND_INTERVAL_S
         is_asked = bool(quota or correction or is_silent)
-        if kept or is_old or is_asked or _comparable_work(loads) != _comparable_work(self._sent_loads):
+        if (
+            kept
+            or is_old
+            or is_asked
+            or _comparable_work(loads) != _comparable_work(self._sent_loads)
+        ):
             self._sent_loads = loads
             self._sent_at_s = now_s
             self._has_updates = True
@@ -250,7 +255,9 @@
         if message.levels is not None:
             self._quotas.handle_fleet(message.levels)
         if not self._peers.view.is_hub:
-            self._state.zone_outage_handler.update_reachability(message.unreachable_zones, is_isolated=message.is_isolated)
+            self._state.zone_outage_handler.update_reachability(
+                message.unreachable_zones, is_isolated=message.is_isolated
+            )
         if self._peers.view.is_hub:
             for told in message.cached:
                 self._zone_cached.discard(told.replica_hash, told.parts)
@@ -308,4 +315,6 @@
 
 
 def _pop_from_backlog(backlog: CachedPartsBacklog, max_parts: int) -> tuple[CachedPartsEntry, ...]:
-    return tuple(CachedPartsEntry(replica_hash, keys) for replica_hash, keys in backlog.pop(max_parts))
+    return tuple(
+        CachedPartsEntry(replica_hash, keys) for replica_hash, keys in backlog.pop(max_parts)
+    )
