--- a/tests/test_relay_fleet.py
+++ b/tests/test_relay_fleet.py
@@ -181,18 +181,18 @@
 
 class RestartUnderTheSameIdTest(unittest.TestCase):
     def test_an_entry_of_a_former_life_changes_nothing(self) -> None:
-        fleet = fleet_of(listing("i", born_ms=2_000, versions={"m": 3}))
-        fleet.install(listing("i", born_ms=1_000, versions={"m": 7}, address="a:9"))
+        fleet = fleet_of(listing("i", started_at_ms=2_000, versions={"m": 3}))
+        fleet.install(listing("i", started_at_ms=1_000, versions={"m": 7}, address="a:9"))
         kept = replica(fleet, "i")
         self.assertEqual((kept.listing.address, kept.versions), ("a:1", {"m": 3}))
 
     def test_an_entry_without_a_start_is_of_the_life_that_is_known(self) -> None:
-        fleet = fleet_of(listing("i", born_ms=2_000))
+        fleet = fleet_of(listing("i", started_at_ms=2_000))
         known = replica(fleet, "i")
         fleet.install(listing("i", accepting=False))
         self.assertIs(replica(fleet, "i"), known)
         self.assertEqual((known.listing.started_at_ms, known.listing.accepting), (2_000, False))
 
     def test_lives_under_one_id_have_names_of_their_own_among_peers(self) -> None:
-        lives = {listing("i", born_ms=born_ms).incarnation for born_ms in (0, 1_000, 2_000)}
+        lives = {listing("i", started_at_ms=born_ms).incarnation for born_ms in (0, 1_000, 2_000)}
         self.assertEqual(len(lives), 3)
--- a/tests/test_relay_placement.py
+++ b/tests/test_relay_placement.py
@@ -127,7 +127,7 @@
             "m", (PromptPart("a", 100), PromptPart("b", 80), PromptPart("c", 600)), 780, 50
         )
         for _ in range(48):
-            chosen = placed(hint, replicas, index, run_s=0.4, mean_run_s=0.5)
+            chosen = placed(hint, replicas, index, expected_run_s=0.4, mean_run_s=0.5)
             chosen.in_flight += 1
         self.assertLessEqual(max(replica.in_flight for replica in replicas), 8)
 
@@ -154,10 +154,10 @@
                 hint,
                 replicas,
                 index,
-                run_s=0.4,
+                expected_run_s=0.4,
                 zone=("z1", "z2", "z3")[number % 3],
-                spread_s=max_jitter_s(hint, 79, READ_RATE),
-                spread_key=member_hash(f"request {number}"),
+                max_jitter_s=max_jitter_s(hint, 79, READ_RATE),
+                jitter_key=member_hash(f"request {number}"),
             ).replica_id
             for number in range(36)
         )
@@ -174,7 +174,7 @@
         for number in range(48):
             request = prompt(f"f{number}", own_tokens=2900)
             key, spread_s = member_hash(f"request {number}"), max_jitter_s(request, 79, READ_RATE)
-            replica = placed(request, replicas, index, spread_key=key, spread_s=spread_s)
+            replica = placed(request, replicas, index, jitter_key=key, max_jitter_s=spread_s)
             chosen[replica.replica_id] += 1
         self.assertLessEqual(max(chosen.values()), 14)
 
@@ -237,12 +237,12 @@
     def test_long_answers_gather_and_large_prompts_stay_away_from_them(self) -> None:
         replicas, index = fleet_of(4), PartIndex()
         long_answer = Prompt("m", (PromptPart("a", 100), PromptPart("b", 100)), 200, 300)
-        chosen = [placed(long_answer, replicas, index, run_s=2.0) for _ in range(3)]
+        chosen = [placed(long_answer, replicas, index, expected_run_s=2.0) for _ in range(3)]
         self.assertEqual(len({replica.replica_id for replica in chosen}), 1)
         chosen[0].in_flight = 8
         for number in range(20):
             large = prompt(f"f{number}", own_tokens=20_000)
-            self.assertIsNot(placed(large, replicas, index, run_s=0.1), chosen[0])
+            self.assertIsNot(placed(large, replicas, index, expected_run_s=0.1), chosen[0])
 
     def test_prompts_gather_where_no_answer_stands_still_for_too_long(self) -> None:
         """Shifted hyt-kathmandu: three prompts in a row held running answers up for over 600 ms."""
@@ -259,12 +259,16 @@
         """64 daemons before 48 replicas opened a connection for nearly every second request."""
         replicas, index = fleet_of(12, ("z1", "z2", "z3")), PartIndex()
         short = Prompt("m", (PromptPart("a", 100), PromptPart("own", 300)), 400, 50)
-        first = placed(short, replicas, index, run_s=0.4)
+        first = placed(short, replicas, index, expected_run_s=0.4)
         other = next(item for item in replicas if item.listing.zone == "z1" and item is not first)
         connected = frozenset({other.order_hash})
-        self.assertIs(placed(short, replicas, index, run_s=0.4, connected=connected), other)
+        self.assertIs(
+            placed(short, replicas, index, expected_run_s=0.4, connected=connected), other
+        )
         other.in_flight = 12
-        self.assertIsNot(placed(short, replicas, index, run_s=0.4, connected=connected), other)
+        self.assertIsNot(
+            placed(short, replicas, index, expected_run_s=0.4, connected=connected), other
+        )
         task = TaskPlacementRequest("z1", 0.0, connected=frozenset({replicas[3].order_hash}))
         chosen = place_task(task, replicas[:4])
         assert chosen is not None
--- a/tests/test_version_evidence.py
+++ b/tests/test_version_evidence.py
@@ -128,11 +128,11 @@
             "new_slots": 1080,
             "old_slots": 1080,
             "old_running": 3,
-            "everyone_heard": True,
+            "all_daemons_reported": True,
             "new_answers": 0,
             "all_answers": 200,
-            "opinion": Assessment.INCONCLUSIVE,
-            "stopped": None,
+            "assessment": Assessment.INCONCLUSIVE,
+            "stop_cause": None,
             "longest_run_s": 1.0,
         }
         fields["recent_per_s"] = (fields | changes)["all_answers"] / elapsed_s
@@ -153,15 +153,15 @@
 
     def test_nothing_moves_before_its_time_its_approval_and_its_capacity(self) -> None:
         state = self.running(SoftwarePhase.TRIAL, 0.05)
-        ready: dict[str, object] = {"elapsed_s": 6.1, "opinion": Assessment.GOOD, "stage_s": 0.2}
+        ready: dict[str, object] = {"elapsed_s": 6.1, "assessment": Assessment.GOOD, "stage_s": 0.2}
         step = next_step(state, self.view(**ready), self.LIMITS)
         assert step is not None
         self.assertIs(step.state.phase, SoftwarePhase.MOVING)
         lacks: tuple[dict[str, object], ...] = (
             {"elapsed_s": 3.0},
-            {"opinion": Assessment.INCONCLUSIVE, "all_answers": 1200, "new_answers": 60},
-            {"opinion": Assessment.PROBABLE, "all_answers": 1200, "new_answers": 60},
-            {"opinion": Assessment.SUSPECT},
+            {"assessment": Assessment.INCONCLUSIVE, "all_answers": 1200, "new_answers": 60},
+            {"assessment": Assessment.PROBABLE, "all_answers": 1200, "new_answers": 60},
+            {"assessment": Assessment.SUSPECT},
             {"new_slots": 500},
         )
         for lacking in lacks:
@@ -171,11 +171,11 @@
         """17 requests a second never show enough in a trial of some seconds."""
         state = self.running(SoftwarePhase.TRIAL, 0.3)
         few = {"elapsed_s": 7.0, "stage_s": 0.2, "all_answers": 60, "new_answers": 14}
-        step = next_step(state, self.view(**few, opinion=Assessment.PROBABLE), self.LIMITS)
+        step = next_step(state, self.view(**few, assessment=Assessment.PROBABLE), self.LIMITS)
         assert step is not None
         self.assertIs(step.state.phase, SoftwarePhase.MOVING)
         for opinion in (Assessment.INCONCLUSIVE, Assessment.SUSPECT):
-            view = self.view(**few, opinion=opinion)
+            view = self.view(**few, assessment=opinion)
             self.assertIsNone(next_step(state, view, self.LIMITS), opinion)
 
     def test_three_good_answers_do_not_speak_for_a_version_and_ten_do(self) -> None:
@@ -198,13 +198,13 @@
         state = self.running(SoftwarePhase.TRIAL, 0.3)
         few = {"elapsed_s": 7.0, "stage_s": 0.2, "all_answers": 40, "new_answers": 3}
         for per_s in (None, 25.0):
-            view = self.view(**few, recent_per_s=per_s, opinion=Assessment.PROBABLE)
+            view = self.view(**few, recent_per_s=per_s, assessment=Assessment.PROBABLE)
             self.assertIsNone(next_step(state, view, self.LIMITS), per_s)
 
     def test_a_version_that_moved_without_approval_gets_no_more_than_the_budget(self) -> None:
         state = self.running(SoftwarePhase.TRIAL, 0.3)
         few = {"elapsed_s": 7.0, "stage_s": 0.2, "all_answers": 60, "new_answers": 14}
-        moving = next_step(state, self.view(**few, opinion=Assessment.PROBABLE), self.LIMITS)
+        moving = next_step(state, self.view(**few, assessment=Assessment.PROBABLE), self.LIMITS)
         assert moving is not None
         spent = self.view(elapsed_s=9.0, stage_s=0.2, all_answers=150, new_answers=60)
         for phase in (SoftwarePhase.MOVING, SoftwarePhase.MOVED):
@@ -213,13 +213,13 @@
             assert step is not None
             self.assertIs(step.state.outcome, RolloutOutcome.ROLLED_BACK)
             self.assertEqual(step.state.judged_bad, ())
-            approved = msgspec.structs.replace(spent, opinion=Assessment.GOOD)
+            approved = msgspec.structs.replace(spent, assessment=Assessment.GOOD)
             self.assertIsNone(next_step(moved, approved, self.LIMITS))
 
     def test_a_version_that_was_approved_is_not_bound_by_the_budget(self) -> None:
         """A leader that has just taken over may know too little to approve it once more."""
         state = self.running(SoftwarePhase.TRIAL, 0.05)
-        ready = self.view(elapsed_s=6.1, opinion=Assessment.GOOD, stage_s=0.2)
+        ready = self.view(elapsed_s=6.1, assessment=Assessment.GOOD, stage_s=0.2)
         moving = next_step(state, ready, self.LIMITS)
         assert moving is not None
         open_again = self.view(elapsed_s=7.0, stage_s=0.2, all_answers=1400, new_answers=900)
@@ -244,7 +244,7 @@
         late = next_step(state, self.view(elapsed_s=11.5), self.LIMITS)
         gone = next_step(state, self.view(elapsed_s=11.5, new_slots=0), self.LIMITS)
         assert idle is not None and late is not None and gone is not None
-        unheard = self.view(elapsed_s=8.0, old_running=0, everyone_heard=False)
+        unheard = self.view(elapsed_s=8.0, old_running=0, all_daemons_reported=False)
         self.assertIsNone(next_step(state, unheard, self.LIMITS))
         self.assertIs(idle.state.outcome, RolloutOutcome.COMPLETED)
         self.assertEqual(idle.state.in_force, "v2")
@@ -255,7 +255,7 @@
     def test_an_alarm_rolls_back_in_every_phase_and_is_remembered(self) -> None:
         for phase in (SoftwarePhase.TRIAL, SoftwarePhase.MOVING, SoftwarePhase.MOVED):
             step = next_step(
-                self.running(phase, 0.3), self.view(stopped=StopCause.BAD), self.LIMITS
+                self.running(phase, 0.3), self.view(stop_cause=StopCause.BAD), self.LIMITS
             )
             assert step is not None
             self.assertEqual(step.state.judged_bad, ("v2",))
--- a/tests/test_zone_hubs.py
+++ b/tests/test_zone_hubs.py
@@ -86,7 +86,7 @@
             seen = idle.state.fleet.get("i-1")
             assert replica is not None and seen is not None
             with patch.object(
-                WorkExchange, "_add_up", autospec=True, side_effect=WorkExchange._aggregate
+                WorkExchange, "_aggregate", autospec=True, side_effect=WorkExchange._aggregate
             ) as add_up:
                 for number in range(40):
                     replica.record_sent(number, 100, busy.state.clock() + 9.0)
--- a/winchfork/core/relay_fleet.py
+++ b/winchfork/core/relay_fleet.py
@@ -83,7 +83,7 @@
         else:
             # An entry that does not say when its replica started is still this incarnation's.
             born_ms = listing.started_at_ms or known.listing.started_at_ms
-            known.listing = msgspec.structs.replace(listing, born_ms=born_ms)
+            known.listing = msgspec.structs.replace(listing, started_at_ms=born_ms)
             for model, version in listing.versions.items():
                 known.versions[model] = max(version, known.versions.get(model, 0))
         self._index()
--- a/winchfork/core/weight_rollout.py
+++ b/winchfork/core/weight_rollout.py
@@ -123,7 +123,7 @@
         """
         running = tuple(named for named in self._versions if named.received_at_s + bound_s > lost_s)
         self._versions = [
-            msgspec.structs.replace(named, heard_s=regained_s) if named in running else named
+            msgspec.structs.replace(named, received_at_s=regained_s) if named in running else named
             for named in self._versions
         ]
         return running
--- a/winchfork/emulator/sim_fleet.py
+++ b/winchfork/emulator/sim_fleet.py
@@ -272,7 +272,7 @@
             placements += 1
             engine = self.engines[decision.replica_id]
             sequence = self._sequence(item, prefix, traffic_class, generated)
-            replica.note_dispatch(
+            replica.record_dispatch(
                 sequence.sequence_id,
                 decision.uncached_tokens,
                 self.env.now,
@@ -283,7 +283,7 @@
             refusal = self._submit(engine, daemon, sequence, identity, signals, decision)
             if refusal is None:
                 first = yield signals[0]
-                replica.note_started(sequence.sequence_id)
+                replica.remove_dispatch(sequence.sequence_id)
                 if first is StreamSignal.FIRST_TOKEN and first_token_s < 0:
                     first_token_s = self.env.now - arrived_s
                     cached_tokens = sequence.cached_blocks * BLOCK_TOKENS
@@ -297,7 +297,7 @@
                         return
                 generated = sequence.generated
             else:
-                replica.note_started(sequence.sequence_id)
+                replica.remove_dispatch(sequence.sequence_id)
                 self._learn_from_refusal(engine, daemon, replica)
                 continue
             excluded.add(decision.replica_id)
