--- a/winchfork/core/answer_rate.py
+++ b/winchfork/core/answer_rate.py
@@ -1,25 +1,26 @@
-"""How many answers a second a service gives, from totals that are looked at now and then.
+"""Estimates a service's answers per second from samples of its running total.
 
-Times are seconds of one clock, given in.
+Times are seconds of one clock, passed in by the caller.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-#: Seconds over which answers are counted, and at least, for a rate to be known.
+#: Age in seconds after which a sample is dropped.
 WINDOW_S = 2.0
+#: Time in seconds that the samples must span before a rate is reported.
 MIN_WINDOW_S = 0.8
 
 
 class AnswerRate:
-    """Keeps the totals of the last seconds. Not thread-safe."""
+    """A sliding window over samples of the total. Not thread-safe."""
 
     def __init__(self) -> None:
         self._totals: deque[tuple[float, int]] = deque()
 
     def record(self, total: int, now_s: float) -> None:
-        """Take in how many answers there have been so far; a lower total begins anew."""
+        """Add a sample of the total number of answers; a lower total restarts the window."""
         if self._totals and total < self._totals[-1][1]:
             self._totals.clear()
         self._totals.append((now_s, total))
@@ -28,7 +29,7 @@
 
     @property
     def per_s(self) -> float | None:
-        """Answers a second; None while too short a time was seen."""
+        """Answers per second; None while the samples span less than ``MIN_WINDOW_S``."""
         if not self._totals:
             return None
         (first_s, first), (last_s, last) = self._totals[0], self._totals[-1]
--- a/winchfork/core/exposure.py
+++ b/winchfork/core/exposure.py
@@ -1,45 +1,44 @@
-"""Which requests go to a new version: the same families on every daemon, and never too many.
+"""Selects the requests that go to a new software version during a rollout.
 
-Requests are dealt out by family, so that what a family shares is read on either side by few
-replicas. Families differ in size and a few may become hot at any time, so each daemon keeps a
-credit besides: it earns the share in force with every request of the service and spends one for
-each that it sends to the new version. However the families turn out, and however often daemons
-restart, no more than the share goes there.
+Requests are selected by prompt family, the same families on every daemon, so that a family's shared
+prefix stays cached on few replicas of either version. Because families differ in size, each daemon
+also limits itself by credit: every request of the service earns the configured share, and every
+request sent to the new version spends one. On average the new version gets no more than its share,
+also when daemons restart often.
 """
 
 from __future__ import annotations
 
 from winchfork.core.rendezvous import member_hash, mixed_order
 
-#: Credit that a daemon may save up while no family that takes part comes by.
+#: Credit, in requests, that a daemon may accumulate.
 MAX_CREDIT = 2.0
-#: Families that take part beyond the share itself: were there just as many, a daemon of a large
-#: fleet would hardly ever see one of them while it has credit, and a trial would show nothing.
+#: Share of families that is eligible beyond the exposure share, so that a daemon with few requests
+#: meets an eligible family while it has credit.
 FAMILY_MARGIN = 0.1
 
 
 def bucket_of(family: str, order_revision: int) -> float:
-    """Return a family's place in [0, 1) among those that move with an order, lowest first."""
+    """Return a family's bucket in [0, 1) under an order; the lowest buckets move first."""
     return mixed_order(member_hash(f"{order_revision}"), member_hash(family))
 
 
 class ExposureCredit:
-    """One daemon's credit with one service.
+    """One daemon's exposure credit for one service.
 
-    ``drawn`` is a random number in [0, 1) to begin with. A daemon that gets few requests would
-    otherwise never earn a whole one, and hundreds of daemons together none at all; drawn evenly,
-    the fleet spends what it earns in the mean, over any number of starts.
+    ``initial_credit`` is a uniform random number in [0, 1). It keeps the deployment's mean exposure
+    at the share even where each daemon gets too few requests to earn a whole credit.
     """
 
     def __init__(self, initial_credit: float) -> None:
         self._credit = initial_credit
 
     def earn(self, share: float) -> None:
-        """Count a request of the service under the share in force."""
+        """Add the share in force for one request of the service."""
         self._credit = min(MAX_CREDIT, self._credit + share)
 
     def spend(self, bucket: float, share: float) -> bool:
-        """Whether a request in this lane goes to the new version; if so, pay for it."""
+        """Whether a request in this bucket goes to the new version; if so, spend one credit."""
         if bucket >= share + FAMILY_MARGIN or self._credit < 1.0:
             return False
         self._credit -= 1.0
--- a/winchfork/core/part_index.py
+++ b/winchfork/core/part_index.py
@@ -1,8 +1,8 @@
-"""Beliefs of which replica keeps which part of a prompt, under which namespace.
+"""An index of the prompt parts that each replica is assumed to have cached, by namespace.
 
-Beliefs only steer placement: the namespace carried by each request decides what may be reused. The
-index is bounded; the part used longest ago is forgotten first. Parts and replicas are named by
-64-bit hashes, so that peers can tell each other in a few bytes.
+The index only steers placement: what a replica may reuse is decided by the namespace in each
+request. Its size is bounded, with eviction of the least recently used part. Parts and replicas are
+identified by 64-bit hashes, which keeps peer messages small.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def part_key(namespace: str, part: PromptPart) -> int:
-    """Return the hash that names a part within its namespace."""
+    """Return the hash that identifies a part within its namespace."""
     return xxhash.xxh3_64_intdigest(f"{namespace}|{part.part_id}".encode())
 
 
@@ -29,15 +29,15 @@
 
 
 class PartIndex:
-    """Maps part keys to the replicas (by hash) that keep them, with the time of last use."""
+    """Maps part keys to the replicas (by hash) that have them cached and the time of last use."""
 
     def __init__(self, capacity: int = DEFAULT_CAPACITY) -> None:
         self._capacity = capacity
         self._holders: OrderedDict[int, dict[int, float]] = OrderedDict()
 
     def record_cached(self, keys: Iterable[int], replica_hash: int, now_s: float) -> list[int]:
-        """Record that a replica keeps parts; return those that were news."""
-        news: list[int] = []
+        """Record that a replica has cached parts; return the keys not recorded for it before."""
+        new_keys: list[int] = []
         for key in keys:
             holders = self._holders.get(key)
             if holders is None:
@@ -47,12 +47,12 @@
             else:
                 self._holders.move_to_end(key)
             if replica_hash not in holders:
-                news.append(key)
+                new_keys.append(key)
             holders[replica_hash] = now_s
-        return news
+        return new_keys
 
     def record_evicted(self, key: int, replica_hash: int) -> None:
-        """Record that a replica no longer keeps a part."""
+        """Record that a replica has evicted a part."""
         holders = self._holders.get(key)
         if holders is not None:
             holders.pop(replica_hash, None)
@@ -60,19 +60,19 @@
                 del self._holders[key]
 
     def drop_replica(self, replica_hash: int) -> None:
-        """Forget everything about a replica that has emptied its cache or ended."""
+        """Remove all entries of a replica, when its cache was cleared or it has ended."""
         for key in [key for key, holders in self._holders.items() if replica_hash in holders]:
             self.record_evicted(key, replica_hash)
 
     def cached_part_count(self, keys: Sequence[int], replica_hash: int) -> int:
-        """Return how many leading parts the replica keeps."""
+        """Return how many leading parts the replica has cached."""
         for number, key in enumerate(keys):
             if replica_hash not in self._holders.get(key, ()):
                 return number
         return len(keys)
 
     def cached_depths(self, keys: Sequence[int]) -> dict[int, int]:
-        """Return for each replica that keeps the first part how many leading parts it keeps."""
+        """Return the number of leading parts cached, for each replica that has the first one."""
         depths: dict[int, int] = {}
         for number, key in enumerate(keys):
             holders = self._holders.get(key, {})
@@ -83,7 +83,7 @@
         return depths
 
     def holders(self, key: int) -> dict[int, float]:
-        """Return the replicas that keep a part, with the time of last use."""
+        """Return the replicas that have a part cached, with the time of last use."""
         return self._holders.get(key, {})
 
     def __len__(self) -> int:
--- a/winchfork/core/permit_queue.py
+++ b/winchfork/core/permit_queue.py
@@ -1,8 +1,8 @@
-"""Requests that wait for a place where every replica has named a limit, the most urgent first.
+"""A priority queue of requests that wait for a permit under the replicas' request limits.
 
-A place is one request that a replica takes from this daemon. Where there are fewer places than
-requests, what cannot have one soon is told so at once; what waits is served by priority, and then
-in the order in which it came.
+A permit allows this daemon to send one request to one replica. Waiting requests are served by
+priority and then first come, first served. The caller refuses a request whose expected wait is
+longer than :func:`max_permit_wait_s`.
 """
 
 from __future__ import annotations
@@ -14,24 +14,25 @@
 
 import msgspec
 
-#: Part of a request's latency objective for which it waits for a place. Where demand goes on being
-#: more than there are places, everybody waits for as long as anybody may: what is served has to be
-#: in time all the same.
+#: Largest share of a request's latency objective that it may wait for a permit.
 MAX_WAIT_SHARE = 0.5
-#: It waits for up to this many of the times in which places come, even where that is longer: with
-#: few places a second it would else be refused though nobody is before it.
+#: Number of mean permit intervals that a request may wait in any case; keeps requests from being
+#: refused from an empty queue when permits are rare.
 MAX_WAIT_PERMITS = 2.0
 
 
 class PermitOpening(msgspec.Struct, frozen=True):
-    """A replica takes a request in ``in_s`` seconds, and one more every ``interval_s``."""
+    """A replica that grants a permit in ``available_in_s`` and then one every ``interval_s``."""
 
     available_in_s: float
     interval_s: float
 
 
 def permit_in_s(openings: Sequence[PermitOpening], ahead: int) -> float:
-    """Return in how many seconds there is a place for a request with so many ahead of it."""
+    """Return the seconds until a permit for a request with ``ahead`` requests before it.
+
+    Infinite without openings.
+    """
     heap = [(opening.available_in_s, opening.interval_s) for opening in openings]
     heapq.heapify(heap)
     if not heap:
@@ -43,23 +44,23 @@
 
 
 def max_permit_wait_s(openings: Sequence[PermitOpening], target_s: float) -> float:
-    """Return how long a request with this latency objective waits for a place."""
+    """Return how many seconds a request with this latency objective may wait for a permit."""
     per_s = sum(
         1.0 / opening.interval_s for opening in openings if not math.isinf(opening.available_in_s)
     )
-    patient_s = MAX_WAIT_SHARE * target_s
-    return max(patient_s, MAX_WAIT_PERMITS / per_s) if per_s else patient_s
+    max_wait_s = MAX_WAIT_SHARE * target_s
+    return max(max_wait_s, MAX_WAIT_PERMITS / per_s) if per_s else max_wait_s
 
 
 class PermitTicket(msgspec.Struct, frozen=True, order=True):
-    """A waiting request: the lower its priority, and then its number, the sooner it is served."""
+    """A waiting request. The lowest ``priority`` is served first, then the lowest ``number``."""
 
     priority: int
     number: int
 
 
 class PermitQueue:
-    """The requests of one service that wait for places at this daemon."""
+    """The requests of one service that wait for permits at this daemon."""
 
     def __init__(self) -> None:
         self._waiting: list[PermitTicket] = []
@@ -69,14 +70,14 @@
         return len(self._waiting)
 
     def join(self, priority: int) -> PermitTicket:
-        """Wait from now on."""
+        """Add a request; a lower ``priority`` is more urgent."""
         self._last_number += 1
         ticket = PermitTicket(priority, self._last_number)
         bisect.insort(self._waiting, ticket)
         return ticket
 
     def leave(self, ticket: PermitTicket) -> None:
-        """Wait no longer: served, refused, or gone."""
+        """Remove a request that was served, refused or cancelled."""
         self._waiting.remove(ticket)
 
     def ahead(self, ticket: PermitTicket) -> int:
--- a/winchfork/core/placement.py
+++ b/winchfork/core/placement.py
@@ -1,8 +1,7 @@
-"""The placement interface: one request, the candidates, what is believed cached; one decision.
+"""The interface of placement policies: request, candidate replicas and cached blocks to a decision.
 
-Every policy is a small class behind :class:`PlacementPolicy`, chosen by name, so that a baseline
-and a new policy differ by one file. Policies are deterministic: randomness is passed in as a seeded
-generator when a policy is built.
+Each policy implements :class:`PlacementPolicy` and is chosen by name. Policies are deterministic:
+randomness comes from a seeded generator that is passed in when a policy is built.
 """
 
 from __future__ import annotations
@@ -35,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ClassWeights:
-    """How a traffic class weighs its goals; both multiply seconds.
+    """Cost weights of a traffic class; both multiply seconds.
 
     ``first_token`` multiplies the expected time to first token, ``recompute`` the engine time spent
     on prefill that a better placement would have avoided.
@@ -47,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PlacementRequest:
-    """What a policy may know about a request."""
+    """The properties of a request that a policy may use."""
 
     request_id: str
     prefix: PromptPrefix
@@ -58,9 +57,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Candidate:
-    """One replica that was weighed: predicted cached blocks, wait and cost in seconds.
+    """One replica that was considered: predicted cached blocks, wait and cost in seconds.
 
-    ``imported_blocks`` is how many leading blocks it would hold after copying from another.
+    ``imported_blocks`` is the number of leading blocks cached after a copy from another replica.
     """
 
     replica_id: str
@@ -74,7 +73,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PlacementDecision:
-    """The chosen replica with the reason and the best of the candidates that were weighed.
+    """The chosen replica, the reason, and the best of the candidates that were considered.
 
     With ``import_from`` set, the replica first copies the prompt's leading ``import_blocks`` from
     that replica.
@@ -96,7 +95,7 @@
     def choose(
         self, request: PlacementRequest, replicas: Sequence[Replica], matched: Mapping[str, int]
     ) -> PlacementDecision:
-        """Return the decision; pure but for the policy's own memory of earlier decisions."""
+        """Return the decision; it may depend on the policy's own record of earlier decisions."""
         ...
 
 
@@ -115,7 +114,7 @@
     cached_blocks: int,
     candidates: tuple[Candidate, ...] = (),
 ) -> PlacementDecision:
-    """Build a decision with its predictions filled in."""
+    """Build a decision, with the expected time to first token from the replica's load."""
     tokens = uncached_tokens(request.prefix, cached_blocks)
     wait_s = replica.expected_wait_s(urgent=request.urgent)
     first_token_s = wait_s + tokens / replica.load.prefill_tokens_per_s
--- a/winchfork/core/placement_request.py
+++ b/winchfork/core/placement_request.py
@@ -1,4 +1,4 @@
-"""What a placement is asked, and what it answers."""
+"""The input and the result of placing a request on a replica."""
 
 from __future__ import annotations
 
@@ -11,27 +11,28 @@
 from winchfork.core.region_map import RegionMap
 from winchfork.core.relay_replica import RelayReplica
 
-#: A request whose answer takes this many times as long as its prompt is a long answer.
+#: Ratio of answer time to prefill time above which a request counts as a long answer.
 LONG_ANSWER_RATIO = 4.0
-#: Charge for a new connection to a replica: a round trip, and the replica's work and a slot of its
-#: own for a moment. In a fleet of many daemons and replicas each pair meets so rarely that replicas
-#: close what was opened before it is used again.
+#: Cost in seconds of a replica to which no idle connection is open.
 CONNECT_COST_S = 0.02
 _NO_REGIONS = RegionMap()
 
 
 def connect_cost_s(connected: frozenset[int] | None, replica: RelayReplica) -> float:
-    """Return the charge for a replica, given those to which a connection waits."""
+    """Return the cost in seconds of opening a connection to a replica; 0 if one is open.
+
+    ``connected`` holds the hashes of replicas with an idle connection; None: connections are free.
+    """
     if connected is None or replica.order_hash in connected:
         return 0.0
     return CONNECT_COST_S
 
 
 class RelayDecision(msgspec.Struct, frozen=True):
-    """The chosen replica and what decided; ``cost_s`` in expected seconds.
+    """The chosen replica and the figures behind the choice; ``cost_s`` in expected seconds.
 
-    ``copy_from`` is who the replica is to take kept parts from, ``save_to`` the store that it is to
-    send what it has read.
+    ``copy_from`` is the replica or store to copy cached parts from; ``save_to`` is the store to
+    save the prefilled parts to.
     """
 
     replica: RelayReplica
@@ -45,9 +46,9 @@
 
 
 class CacheStoreChoice(msgspec.Struct, frozen=True):
-    """The store that keeps a prompt's family in one region.
+    """The cache store that is responsible for a prompt's family in one region.
 
-    ``tokens_per_s`` is how fast a replica in the store's own zone copies from it.
+    ``tokens_per_s`` is the rate at which a replica in the store's own zone copies from it.
     """
 
     store: RelayReplica
@@ -57,15 +58,15 @@
 class PromptPlacementRequest(msgspec.Struct, frozen=True):
     """A prompt to place, for a daemon in ``zone``.
 
-    ``run_s`` is how long its answer is expected to take after the first token.
-    ``copy_tokens_per_s`` is how fast replicas copy kept parts from each other within a zone; 0:
-    they cannot. ``read_tokens_per_s`` is how fast they read. ``cache_tokens`` is their memory, 0 if
-    not known. ``mean_run_s`` is how long runs have taken lately. ``stores`` keep parts outside the
-    replicas, by region. Answers of ``old_versions`` are worth less. ``spread_s`` is the most that a
-    charge drawn by ``spread_key`` may be. ``gap_target_s`` is the longest pause that callers of
-    running answers allow; 0 if not known. ``crossing_s`` is the charge for a replica in another
-    region. ``connected`` are the replicas, by hash, to which a connection waits; None: connections
-    cost nothing.
+    ``expected_run_s`` is the expected time from the first token to the end of the answer.
+    ``copy_tokens_per_s`` is the rate at which replicas of a zone copy cached parts from each other;
+    0: they cannot. ``cache_tokens`` is the cache memory of a replica; 0: not known.
+    ``mean_run_s`` is the recent mean run time. ``old_versions`` are weights versions whose answers
+    cost extra. ``max_jitter_s`` bounds the jitter in a replica's cost, which is drawn by
+    ``jitter_key``. ``stores`` are the cache stores by region. ``prefill_tokens_per_s`` is the
+    replicas' prefill rate. ``gap_target_s`` is the longest allowed gap between tokens of running
+    answers; 0: not known. ``cross_region_cost_s`` is the cost of a replica in another region.
+    ``connected`` are the replicas, by hash, with an idle connection; None: connections are free.
     """
 
     prompt: Prompt
@@ -87,19 +88,19 @@
     connected: frozenset[int] | None = None
 
     def connect_cost_s(self, replica: RelayReplica) -> float:
-        """Return the charge for a replica to which a connection has to be opened."""
+        """Return the cost in seconds of opening a connection to a replica; 0 if one is open."""
         return connect_cost_s(self.connected, replica)
 
     @property
     def is_long_answer(self) -> bool:
-        """Whether the answer takes much longer than the prompt."""
-        read_s = self.prompt.prompt_tokens / self.prefill_tokens_per_s
-        return self.expected_run_s > LONG_ANSWER_RATIO * read_s
+        """Whether the answer is expected to take much longer than the prefill."""
+        prefill_s = self.prompt.prompt_tokens / self.prefill_tokens_per_s
+        return self.expected_run_s > LONG_ANSWER_RATIO * prefill_s
 
     def version_at(self, replica: RelayReplica) -> int:
-        """Return the version of the prompt's model that a replica has."""
+        """Return the weights version of the prompt's model on a replica; 0: not known."""
         return replica.versions.get(self.prompt.model, 0)
 
     def store_for(self, replica: RelayReplica) -> CacheStoreChoice | None:
-        """Return the store that a replica copies from and saves to: that of its own region."""
+        """Return the cache store of the replica's region, or None."""
         return self.stores.get(self.regions.region_of(replica.listing.zone))
--- a/winchfork/core/prefill_plan.py
+++ b/winchfork/core/prefill_plan.py
@@ -1,7 +1,7 @@
-"""How a replica would come by a prompt: what it keeps, what it copies and from whom, what it reads.
+"""Plans how a replica obtains a prompt: tokens already cached, tokens to copy, tokens to prefill.
 
-A copy is worth its time only from a source that is near enough: between regions cache moves several
-times slower than most engines read, and only the rates can say so.
+A copy is planned only if the rate from its source, which falls with the distance, compares well
+enough with the replica's prefill rate.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 from winchfork.core.region_map import Distance
 from winchfork.core.relay_replica import RelayReplica
 
-#: Cache moves take this many times as long as within a zone, by how far apart the two ends are: the
-#: figures that operators give.
+#: Time to copy cached tokens relative to a copy within one zone, by distance.
 COPY_TIME_RATIO = {
     Distance.SAME_ZONE: 1.0,
     Distance.SAME_REGION: 2.0,
     Distance.OTHER_REGION: 10.0,
 }
-#: A copy may take this many times as long as reading the same tokens: reading holds up the answers
-#: that run there, and a copy does not.
+#: Largest ratio of copy time to prefill time of the same tokens. Above 1 because a copy, unlike a
+#: prefill, does not delay running answers.
 MAX_COPY_TO_PREFILL_RATIO = 1.5
-#: A copy of fewer tokens is not worth its set-up.
+#: Smallest number of tokens that is copied.
 MIN_COPIED_TOKENS = 64
 
 
 class PrefillPlan(msgspec.Struct, frozen=True):
-    """Tokens of a prompt kept at a replica, copied to it and read by it.
+    """Tokens of a prompt that are cached at a replica, copied to it and prefilled by it.
 
-    ``copy_s`` is the time that the copy takes.
+    ``source`` is the replica or store to copy from, None without a copy; ``copy_s`` is the time
+    that the copy takes.
     """
 
     cached_tokens: int
@@ -43,14 +43,17 @@
 
 
 class CachedParts(msgspec.Struct, frozen=True):
-    """Keys of the shared parts under one version, and the leading parts kept, by replica."""
+    """Keys of the shared parts under one weights version, and cached leading parts by replica."""
 
     keys: Sequence[int]
     depths: Mapping[int, int]
 
 
 class PrefillPlanner:
-    """Who keeps how much of one prompt's shared parts, looked up once for each weights version."""
+    """Plans the prefill of one prompt; looks the index up once for each weights version.
+
+    ``sources`` are the replicas and stores that cached parts may be copied from.
+    """
 
     def __init__(
         self, request: PromptPlacementRequest, sources: Sequence[RelayReplica], index: PartIndex
@@ -62,11 +65,11 @@
         }
         self._index = index
         self._by_version: dict[int, CachedParts] = {}
-        #: Replicas of one zone that keep equally much have the same source.
+        #: Plans by weights version, zone and number of cached parts, which determine the source.
         self._plans: dict[tuple[int, str, int], PrefillPlan] = {}
 
     def cached_parts_for(self, replica: RelayReplica) -> CachedParts:
-        """Return what is kept under the weights that a replica has."""
+        """Return the cached parts under the weights version of a replica."""
         version = self._request.version_at(replica)
         known = self._by_version.get(version)
         if known is None:
@@ -76,32 +79,32 @@
         return known
 
     def plan_for(self, replica: RelayReplica) -> PrefillPlan:
-        """Return how a replica would come by the prompt."""
-        kept_parts = self.cached_parts_for(replica).depths.get(replica.order_hash, 0)
-        place = (self._request.version_at(replica), replica.listing.zone, kept_parts)
-        known = self._plans.get(place)
+        """Return how a replica would obtain the prompt."""
+        cached_part_count = self.cached_parts_for(replica).depths.get(replica.order_hash, 0)
+        plan_key = (self._request.version_at(replica), replica.listing.zone, cached_part_count)
+        known = self._plans.get(plan_key)
         if known is None:
-            known = self._plans[place] = self._find_plan(replica, kept_parts)
+            known = self._plans[plan_key] = self._find_plan(replica, cached_part_count)
         return known
 
     def is_copy_worthwhile(self, copy_tokens_per_s: float) -> bool:
-        """Whether a copy at this rate is worth its time."""
+        """Whether a copy at this rate is preferable to a prefill."""
         return copy_tokens_per_s * MAX_COPY_TO_PREFILL_RATIO >= self._request.prefill_tokens_per_s
 
     def copy_tokens_per_s(self, source: RelayReplica, replica: RelayReplica) -> float:
-        """Return the tokens a second that a replica copies from a source; 0 where it cannot."""
+        """Return the rate at which a replica copies from a source; 0 where it cannot."""
         own_rate = self._request.copy_tokens_per_s
         rate = self._store_rates.get(source.order_hash, own_rate) if own_rate else 0.0
         distance = self._request.regions.distance(source.listing.zone, replica.listing.zone)
         return rate / COPY_TIME_RATIO[distance]
 
     def _find_plan(self, replica: RelayReplica, cached_part_count: int) -> PrefillPlan:
-        """Weigh every source by the time to copy what it keeps and to read the rest."""
+        """Choose the source with the least time to copy its parts and prefill the rest."""
         request = self._request
         shared = request.prompt.shared_parts
-        kept = sum(part.tokens for part in shared[:cached_part_count])
-        unread = max(1, request.prompt.prompt_tokens - kept)
-        best = PrefillPlan(kept, 0, unread, None, 0.0)
+        cached = sum(part.tokens for part in shared[:cached_part_count])
+        uncached = max(1, request.prompt.prompt_tokens - cached)
+        best = PrefillPlan(cached, 0, uncached, None, 0.0)
         prefixes = self.cached_parts_for(replica)
         best_order: tuple[float, float] | None = None
         for source_hash, parts in prefixes.depths.items():
@@ -113,9 +116,9 @@
             if not rate or copied < MIN_COPIED_TOKENS or not self.is_copy_worthwhile(rate):
                 continue
             copy_s = copied / rate
-            rest = max(1, request.prompt.prompt_tokens - kept - copied)
+            rest = max(1, request.prompt.prompt_tokens - cached - copied)
             used_s = self._index.holders(prefixes.keys[parts - 1]).get(source_hash, 0.0)
             order = (copy_s + rest / request.prefill_tokens_per_s, -used_s)
             if best_order is None or order < best_order:
-                best, best_order = PrefillPlan(kept, copied, rest, source, copy_s), order
+                best, best_order = PrefillPlan(cached, copied, rest, source, copy_s), order
         return best
--- a/winchfork/core/prefix.py
+++ b/winchfork/core/prefix.py
@@ -1,10 +1,10 @@
 """Prompt prefixes as chained block keys.
 
-A key names a block together with everything before it: it chains over the tenant, the model, the
-versions of weights and adapter, the parent key and the block's content. Two prompts share a key
-only if they share all of these, so a belief about one tenant's block, or about older weights,
-cannot match another's. Keys are 64-bit because beliefs only steer: the engine's own report decides
-what was reused, so a collision costs one poor placement and never a wrong answer.
+A key identifies a block together with everything before it: it is a hash over the tenant, the
+model, the versions of weights and adapter, the parent key and the block's content. Two prompts
+share a key only if they share all of these, so entries never match across tenants or weights
+versions. Keys have 64 bits; they are used for placement only, so a collision can cause a poor
+placement but not a wrong answer.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class CacheScope:
-    """What a cached block belongs to besides its content; the extra keys of the chain."""
+    """The tenant, model and versions that a cached block belongs to."""
 
     tenant: str
     model: str
@@ -33,7 +33,7 @@
         return root_key_of(self.salt())
 
     def salt(self) -> str:
-        """Return the unambiguous text form; engines mix it into their own block hashes."""
+        """Return the scope as unambiguous text; engines include it in their own block hashes."""
         parts = (self.tenant, self.model, str(self.weights_version), str(self.adapter_version))
         return "".join(f"{len(part)}:{part}" for part in parts)
 
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PromptPrefix:
-    """A prompt as the placement sees it: chained keys of its full blocks, and its length."""
+    """The chained keys of a prompt's full blocks and its length in tokens."""
 
     block_keys: tuple[BlockKey, ...]
     prompt_tokens: int
@@ -59,7 +59,7 @@
 
 
 def count_tokens(data: bytes) -> int:
-    """Estimate the tokens in ``data``; the router has no tokenizer and needs only proportions."""
+    """Estimate the number of tokens in ``data`` from its length in bytes."""
     return -(-len(data) // BYTES_PER_TOKEN)
 
 
@@ -69,7 +69,7 @@
 
 
 def chain_prompt(root: BlockKey, prompt: bytes) -> tuple[BlockKey, ...]:
-    """Return the chained keys of the full blocks of ``prompt``; the ragged tail has no key."""
+    """Return the chained keys of the full blocks of ``prompt``; a partial last block has none."""
     keys: list[BlockKey] = []
     parent = root
     for start in range(0, len(prompt) - BLOCK_BYTES + 1, BLOCK_BYTES):
@@ -79,5 +79,5 @@
 
 
 def prompt_prefix(scope: CacheScope, prompt: bytes) -> PromptPrefix:
-    """Cut ``prompt`` into full blocks and chain their keys under ``scope``."""
+    """Split ``prompt`` into full blocks and chain their keys under ``scope``."""
     return PromptPrefix(chain_prompt(scope.root_key(), prompt), count_tokens(prompt))
--- a/winchfork/core/prompt_cost.py
+++ b/winchfork/core/prompt_cost.py
@@ -1,4 +1,8 @@
-"""What a prompt costs at a replica: expected seconds, and charges for what others would lose."""
+"""The cost of placing a prompt on a replica, in seconds.
+
+The cost is the expected wait and prefill time at the replica, plus costs for the slowdown of other
+requests, for lost cache locality and for distance.
+"""
 
 from __future__ import annotations
 
@@ -10,47 +14,40 @@
 from winchfork.core.rendezvous import mixed_order
 from winchfork.core.zone_hubs import MAX_FULL_MESH_MEMBERS
 
-#: Charge for a replica all of whose slots are taken, less for fewer: every token of a larger batch
-#: comes slower, and long answers gather only as far as there are slots.
+#: Cost in seconds of a replica whose slots are all taken; proportional to the slots taken.
 FULL_COST_S = 0.064
-#: Charge for keeping copied parts twice, as a share of the time to read them: they push others out.
+#: Cost of caching copied parts a second time, as a share of their prefill time.
 DUPLICATE_COST_SHARE = 0.25
-#: Charge for a family away from its home while nobody is known to keep it, as a share of the time
-#: to read its shared parts: the home may hold it unheard.
+#: Cost of placing a family away from its home replica with none of it cached or copied, as a share
+#: of the prefill time of its shared parts: the home may have it cached without this daemon's
+#: knowledge.
 NOT_HOME_COST_SHARE = 0.9
-#: What daemons hear of each other's work is some tenths of a second old, and until then all of them
-#: would send to the same replica. So in a fleet of many daemons each request has charges of its
-#: own, drawn up to what others like it may add unheard: this much and the time to read its prompt.
+#: Largest jitter in seconds, besides the prompt's prefill time, in the cost of a replica. It keeps
+#: daemons with stale load data from all choosing the same replica.
 JITTER_COST_S = 0.03
-#: Daemons beyond those that hear of each other directly at which these charges are full.
+#: Number of daemons beyond a full mesh at which the jitter reaches its maximum.
 FULL_JITTER_DAEMONS = 50
 #: Seconds to set up a copy.
 COPY_SETUP_S = 0.004
-#: Charge that keeps ties in the family's order on every daemon.
+#: Cost in seconds per rank in the family's order; breaks ties the same way on every daemon.
 RANK_COST_S = 0.004
-#: Charge for a replica in another zone of the region: latency there and back, and the price of the
-#: bytes.
+#: Cost in seconds of a replica in another zone of the same region.
 OTHER_ZONE_COST_S = 0.012
-#: Charge for weights that a newer version has replaced a while ago: their answers are worth less,
-#: though not by as much as late ones.
+#: Cost in seconds of a replica with an outdated weights version.
 OLD_WEIGHTS_COST_S = 0.15
-#: Charge for a long answer on a replica that is to load weights next, as a share of its length: the
-#: load waits for it.
+#: Cost of a request on a replica that loads weights next, as a share of the expected run time: the
+#: load has to wait for the request to end.
 UPCOMING_LOAD_COST_SHARE = 0.1
-#: Charge for reading a prompt where answers are running: each of them waits meanwhile. A share of
-#: the reading time for each running request.
+#: Cost per running request of the delay that a prefill causes it, as a share of the prefill time.
 INTERFERENCE_SHARE = 0.1
-#: Charge for each running answer that would stand still for longer than its callers allow while
-#: what waits there is read. With it, and with waits for replicas that open, late answers of a quiet
-#: day of 79 daemons fell from 318 to 216, and the worth of a loaded day of seven daemons rose by
-#: 0.025 to 0.044 (three pairs of plays). It begins at this share of the allowed pause and is whole
-#: at twice that: replicas read in pieces, and an event that is half made comes that much later.
+#: Cost in seconds per running answer whose token gap would exceed the allowed maximum.
 TOKEN_GAP_COST_S = 0.3
+#: Share of the allowed token gap at which that cost sets in; it is full at twice this share.
 TOKEN_GAP_FREE_SHARE = 0.55
-#: Long answers gather on the same few replicas of a zone, away from large prompts: charge for each
-#: place in the order, so that the next replica is used when this one has some ten more running.
+#: Cost in seconds per rank for long answers; concentrates them on few replicas of a zone, apart
+#: from large prompts.
 LONG_ANSWER_RANK_COST_S = 0.01
-#: Time in which a stream that is moved makes nothing, beside the reading of its prompt.
+#: Seconds for which a moved stream is interrupted, besides the repeated prefill.
 MOVE_SETUP_S = 0.05
 
 
@@ -61,12 +58,18 @@
     is_home: bool,
     plan: PrefillPlan,
 ) -> float:
-    """Return the cost of a prompt at a replica that is ``rank``-th in the order of its region."""
+    """Return the cost in seconds of a prompt at a replica.
+
+    ``rank`` is the replica's position, from 0, in the order of its location; ``is_home``: it is the
+    family's home replica.
+    """
     running = replica.running
-    read_s = plan.prefill_tokens / request.prefill_tokens_per_s
-    cost_s = replica.queued_prefill_tokens / request.prefill_tokens_per_s + read_s
-    cost_s += running * (FULL_COST_S / max(1, replica.listing.slots) + INTERFERENCE_SHARE * read_s)
-    cost_s += running * _token_gap_cost_s(request, replica, read_s)
+    prefill_s = plan.prefill_tokens / request.prefill_tokens_per_s
+    cost_s = replica.queued_prefill_tokens / request.prefill_tokens_per_s + prefill_s
+    cost_s += running * (
+        FULL_COST_S / max(1, replica.listing.slots) + INTERFERENCE_SHARE * prefill_s
+    )
+    cost_s += running * _token_gap_cost_s(request, replica, prefill_s)
     cost_s += _expected_wait_s(request, replica) + _preemption_cost_s(request, replica)
     if request.max_jitter_s:
         cost_s += request.max_jitter_s * mixed_order(request.jitter_key, replica.order_hash)
@@ -80,7 +83,8 @@
     if distance is Distance.SAME_REGION:
         cost_s += OTHER_ZONE_COST_S
     elif distance is Distance.OTHER_REGION:
-        # What is kept there draws nothing over: read once in its own region, a family stays here.
+        # Cancel the benefit of tokens cached in another region: after one prefill in its own region
+        # the family stays there.
         cost_s += request.cross_region_cost_s + plan.cached_tokens / request.prefill_tokens_per_s
     cost_s += request.connect_cost_s(replica)
     if request.version_at(replica) in request.old_versions:
@@ -93,9 +97,9 @@
 def _token_gap_cost_s(
     request: PromptPlacementRequest, replica: RelayReplica, prefill_s: float
 ) -> float:
-    """Return the charge for what this prompt adds to the pause of each running answer.
+    """Return the cost per running answer of the token gap that this prompt's prefill adds.
 
-    Where answers stand still for too long already, one more prompt takes nothing from them.
+    It is 0 where the queued prefill already exceeds the allowed gap.
     """
     free_s = TOKEN_GAP_FREE_SHARE * request.gap_target_s
     if not free_s:
@@ -105,32 +109,32 @@
 
 
 def _ramp(value: float, start: float) -> float:
-    """Return 0 up to ``start`` and 1 from twice that, and rise evenly between."""
+    """Return 0 up to ``start``, 1 from twice ``start``, and interpolate linearly between."""
     return max(0.0, min(1.0, value / start - 1.0))
 
 
 def max_jitter_s(prompt: Prompt, daemons: int, prefill_tokens_per_s: float) -> float:
-    """Return how far the charges of a request may lie apart in a fleet of this size."""
+    """Return the largest jitter, in seconds, in a replica's cost with this many daemons."""
     share = max(0.0, min(1.0, (daemons - MAX_FULL_MESH_MEMBERS) / FULL_JITTER_DAEMONS))
     return share * (JITTER_COST_S + prompt.prompt_tokens / prefill_tokens_per_s)
 
 
 def worth_moving(expected_s: float, elapsed_s: float, prefill_s: float) -> bool:
-    """Whether a run that has taken ``elapsed_s`` of an expected time should go on elsewhere.
+    """Whether a run should move to another replica after ``elapsed_s`` of ``expected_s``.
 
-    ``read_s`` is the time to read its prompt once more, for which every answer stands still where
-    it goes: what is left must be a long answer by comparison. A run that has outlasted its
-    expectation is taken to need as much again as it is over.
+    ``prefill_s`` is the time to prefill its prompt again, which delays all answers on the new
+    replica; so the remaining run time must be several times as long. A run that has exceeded its
+    expected time is assumed to need the excess once more.
     """
-    left_s = abs(expected_s - elapsed_s)
-    return left_s > MOVE_SETUP_S + LONG_ANSWER_RATIO * prefill_s
+    remaining_s = abs(expected_s - elapsed_s)
+    return remaining_s > MOVE_SETUP_S + LONG_ANSWER_RATIO * prefill_s
 
 
 def _preemption_cost_s(request: PromptPlacementRequest, replica: RelayReplica) -> float:
-    """Return the charge for a prompt that does not fit into a replica's memory.
+    """Return the cost in seconds of a prompt that does not fit into a replica's cache memory.
 
-    A replica that runs out of memory puts back what it began last, and reads it anew: for each
-    token that does not fit, about one is read twice.
+    A replica that runs out of memory preempts its newest requests and prefills them again later:
+    about one token is prefilled twice for each token that does not fit.
     """
     if not request.cache_tokens:
         return 0.0
@@ -140,14 +144,14 @@
 
 
 def _expected_wait_s(request: PromptPlacementRequest, replica: RelayReplica) -> float:
-    """Return how long a prompt is expected to wait until others have left it slot and memory.
+    """Return the expected wait in seconds for a free slot and enough cache memory.
 
-    Runs end one after another, so of a full replica's runs a share of ``1 / slots`` ends in each
-    such share of the mean run; memory is given back in the same way.
+    Slots and memory are assumed to be released evenly over the mean run time, so the wait is the
+    missing share of them times the mean run time.
     """
     slots = max(1, replica.listing.slots)
-    lacking = max(0.0, replica.running + 1 - slots) / slots
+    missing_share = max(0.0, replica.running + 1 - slots) / slots
     if request.cache_tokens:
         tokens = replica.used_tokens + request.prompt.memory_tokens - request.cache_tokens
-        lacking = max(lacking, tokens / request.cache_tokens)
-    return lacking * request.mean_run_s
+        missing_share = max(missing_share, tokens / request.cache_tokens)
+    return missing_share * request.mean_run_s
--- a/winchfork/core/prompt_parts.py
+++ b/winchfork/core/prompt_parts.py
@@ -1,7 +1,7 @@
-"""Prompts described by part ids and token counts, and the namespaces that keep cache apart.
+"""Prompts as sequences of parts (id and token count), and the namespaces that isolate caches.
 
-The router never sees a prompt's text. A caller names the parts in order; parts before the last are
-shared with other requests, the last belongs to the request or its session.
+The router does not see a prompt's text. The caller lists the parts in order; the last one belongs
+to the request or its session, those before it may be shared with other requests.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Prompt(msgspec.Struct, frozen=True):
-    """A prompt for ``model``; ``output_tokens`` is the most that may be generated."""
+    """A prompt for ``model``; ``output_tokens`` is the maximum number of generated tokens."""
 
     model: str
     parts: tuple[PromptPart, ...]
@@ -33,14 +33,14 @@
 
     @property
     def family(self) -> str:
-        """The id of the last shared part, or of the only part: what placement keeps together."""
+        """The id of the last shared part, or of the only part; requests are grouped by it."""
         if len(self.parts) >= 2:
             return self.parts[-2].part_id
         return self.parts[-1].part_id if self.parts else ""
 
     @property
     def memory_tokens(self) -> int:
-        """Tokens of a replica's memory that the run may come to take."""
+        """The largest number of tokens that the run may hold in a replica's cache memory."""
         return self.prompt_tokens + self.output_tokens
 
     @property
@@ -50,10 +50,10 @@
 
 
 class CacheScope(msgspec.Struct, frozen=True):
-    """Whose cache a prompt may use: that of one tenant or the shared one, for one model.
+    """The cache that a prompt may use: one tenant's or the shared one, for one model.
 
-    A namespace names the scope and the weights version. Cache across a wall or of other weights
-    cannot be named at all, in a replica or in a store.
+    A namespace combines the scope and the weights version, so that a request cannot refer to cache
+    of another isolation key or weights version, in a replica or in a store.
     """
 
     isolation_key: str
@@ -65,5 +65,5 @@
         return cls(f"t.{tenant}" if isolated else _SHARED_ISOLATION_KEY, model)
 
     def namespace(self, weights_version: int) -> str:
-        """Return the text under which replicas with these weights keep and find parts."""
+        """Return the namespace of cached parts under this weights version."""
         return f"{self.isolation_key}/{self.model}/{weights_version}"
