--- a/winchfork/core/relay_fleet.py
+++ b/winchfork/core/relay_fleet.py
@@ -1,8 +1,8 @@
-"""All replicas that the platform lists, and which of them answers at each address.
+"""The replicas that the platform lists, and the current incarnation at each address.
 
-Several incarnations may be listed at one address, of which one answers. The list's order is a doubt
-only: an entry may be written late, after its replica has ended and another has been listed there.
-An answer from the address is evidence, and decides.
+Several incarnations may be listed at one address, of which only one answers. The most recently
+listed one is assumed to be current; entries may be written late, though, so an answer from the
+address takes precedence.
 """
 
 from __future__ import annotations
@@ -15,28 +15,31 @@
 from winchfork.core.relay_replica import IncarnationState, RelayReplica, ReplicaListing
 from winchfork.core.replica_notice import AnswerNotice, NoticeChange, ReplicaNotice
 
-#: Incarnations that are remembered after they have left the list, since it may bring them back:
-#: their place in the order of listing, and what they have said. Several times a fleet of 600.
+#: Number of removed incarnations whose recency and notice are retained, in case they are listed
+#: again.
 MAX_REMOVED = 2048
 
 
 class IncarnationChangeCause(enum.Enum):
-    """What changed a replica's standing."""
+    """What changed a replica's incarnation state."""
 
-    #: The platform's list says something new of a replica at the address.
+    #: The platform added or changed the entry of a replica at the address.
     LISTED = "listed"
-    #: A replica at the address has gone from the list.
+    #: The platform removed the entry of a replica at the address.
     REMOVED = "gone"
-    #: A replica at the address has said that it leaves.
+    #: A replica at the address has announced that it is draining.
     DRAINING = "drains"
-    #: The replica has answered as itself.
+    #: The incarnation to which the request was addressed has answered.
     ANSWERED = "answered"
-    #: Another incarnation has answered in the place of the one that was asked.
+    #: An incarnation other than the one to which the request was addressed has answered.
     OTHER_ANSWERED = "other_answered"
 
 
 class IncarnationChange(msgspec.Struct, frozen=True):
-    """A replica whose standing has changed; ``by`` is the incarnation in place, if one is known."""
+    """A replica whose incarnation state has changed.
+
+    ``current_id`` is the id of the current incarnation at its address; empty if not known.
+    """
 
     replica: RelayReplica
     cause: IncarnationChangeCause
@@ -50,40 +53,39 @@
 
 
 class RelayFleet:
-    """All replicas by id. Not thread-safe."""
+    """All listed replicas by id. Not thread-safe."""
 
     def __init__(self) -> None:
         self._replicas: dict[str, RelayReplica] = {}
         self._by_service: dict[str, list[RelayReplica]] = {}
         self._last_recency = 0
-        #: Incarnations that have gone, the oldest first.
+        #: Removed incarnations, the least recently removed first.
         self._removed: dict[int, _RemovedReplica] = {}
-        #: Told of each change of a replica's standing.
+        #: Called on each change of a replica's incarnation state.
         self.on_incarnation_change: Callable[[IncarnationChange], None] = lambda change: None
-        #: Called before a decision reads the work on replicas: brings what peers told up to date.
+        #: Called before the load of replicas is read, to update the load that peers reported.
         self.refresh: Callable[[], None] = lambda: None
 
     def install(self, listing: ReplicaListing) -> RelayReplica:
-        """Add a replica or replace what the list says of it, keeping own evidence.
+        """Add a replica or replace its listing, keeping this daemon's own measurements.
 
-        An entry of an earlier incarnation changes nothing. A later one has to be preceded by
-        :meth:`remove`, so that whoever holds beliefs of the earlier one drops them.
+        An entry of an earlier incarnation changes nothing. Before a later incarnation is installed,
+        the caller has to :meth:`remove` the earlier one, so that all state about it is dropped.
         """
         known = self._replicas.get(listing.replica_id)
         if known is not None and listing.is_older_incarnation_of(known.listing):
             return known
         if known is None:
             known = RelayReplica(listing, dict(listing.versions), listing.incarnation)
-            # An entry that comes back is no newer than what has been listed there since, and takes
-            # nothing back that its replica has said.
-            gone = self._removed.pop(listing.incarnation, None)
-            known.recency = gone.recency if gone else self._next_recency()
-            known.notice = gone.notice if gone else known.notice
+            # An incarnation that is listed again keeps its recency and its notice.
+            removed = self._removed.pop(listing.incarnation, None)
+            known.recency = removed.recency if removed else self._next_recency()
+            known.notice = removed.notice if removed else known.notice
             self._replicas[listing.replica_id] = known
         else:
-            # An entry that does not say when its replica started is still this incarnation's.
-            born_ms = listing.started_at_ms or known.listing.started_at_ms
-            known.listing = msgspec.structs.replace(listing, born_ms=born_ms)
+            # An entry without a start time belongs to the known incarnation.
+            started_at_ms = listing.started_at_ms or known.listing.started_at_ms
+            known.listing = msgspec.structs.replace(listing, started_at_ms=started_at_ms)
             for model, version in listing.versions.items():
                 known.versions[model] = max(version, known.versions.get(model, 0))
         self._index()
@@ -91,7 +93,7 @@
         return known
 
     def remove(self, replica_id: str) -> RelayReplica | None:
-        """Forget a replica; None when it was not known."""
+        """Remove a replica and return it; None when it was not listed."""
         removed = self._replicas.pop(replica_id, None)
         if removed is not None:
             self._remember(removed)
@@ -107,33 +109,33 @@
             del self._removed[next(iter(self._removed))]
 
     def was_removed(self, incarnation: int) -> bool:
-        """Whether an incarnation has left the list, as far as remembered."""
+        """Whether an incarnation was removed; False for those no longer retained."""
         return incarnation in self._removed
 
-    # What replicas say of themselves
+    # Notices
 
     def record_notice(
         self, replica: RelayReplica, notice: AnswerNotice, now_s: float, jitter: float
     ) -> NoticeChange:
-        """Take in what an answer says of the replica that gave it; ``draw`` is from 0 to 1."""
+        """Record the notice of an answer; ``jitter`` is a random number from 0 to 1."""
         change = replica.notice.record(notice, now_s, jitter)
         if change is NoticeChange.DRAINING:
             self._update_state(IncarnationChangeCause.DRAINING)
         return change
 
     def previous_notice(self, replica: RelayReplica) -> ReplicaNotice | None:
-        """Return what was heard last as said by an earlier incarnation under a replica's id."""
-        formers = (gone for gone in reversed(self._removed.values()))
-        same_id = (gone for gone in formers if gone.replica_id == replica.replica_id)
-        former = next(same_id, None)
-        return former.notice if former is not None else None
+        """Return the notice of the most recently removed incarnation with the replica's id."""
+        newest_first = (removed for removed in reversed(self._removed.values()))
+        same_id = (removed for removed in newest_first if removed.replica_id == replica.replica_id)
+        previous = next(same_id, None)
+        return previous.notice if previous is not None else None
 
-    # Who answers at an address
+    # Incarnation states
 
     def record_answer(self, replica: RelayReplica) -> None:
-        """Record that a replica has answered as itself: others listed at its address are doubted.
+        """Record that a replica has answered; others listed at its address become suspect.
 
-        They are not shown to have ended: the answer may have been read late.
+        They are not marked as ended, because the answer may be processed late.
         """
         listed = self._replicas.get(replica.replica_id)
         if listed is not None and listed.superseded:
@@ -142,10 +144,10 @@
             )
 
     def record_other_answered(self, asked: RelayReplica, answering_id: str = "") -> None:
-        """Record that another incarnation answered at an address, ``by`` if its id is known.
+        """Record that another incarnation than ``asked`` answered at its address.
 
-        The one that was asked has ended. Where the id is not known, the next of those that were
-        only doubted gets its turn.
+        ``asked`` is marked as ended. ``answering_id`` becomes current; if it is empty, the most
+        recent of the suspect incarnations does.
         """
         listed = self._replicas.get(asked.replica_id)
         if listed is not None and listed.incarnation_state is not IncarnationState.ENDED:
@@ -165,24 +167,24 @@
         self._update_state(cause)
 
     def _update_state(self, cause: IncarnationChangeCause) -> None:
-        """Take the most recent at each address for the one in place, of those not known to end.
+        """Mark the most recent incarnation at each address as current, the others as suspect.
 
-        One whose entry says that it takes no work puts no other out of its place.
+        Ended incarnations are skipped. One that is not in service does not supersede another.
         """
-        in_place: dict[str, RelayReplica] = {}
+        current_by_address: dict[str, RelayReplica] = {}
         ended = IncarnationState.ENDED
         candidates = [
             item for item in self._replicas.values() if item.incarnation_state is not ended
         ]
         for replica in candidates:
-            known = in_place.get(replica.listing.address)
+            known = current_by_address.get(replica.listing.address)
             if replica.is_in_service and (known is None or replica.recency > known.recency):
-                in_place[replica.listing.address] = replica
+                current_by_address[replica.listing.address] = replica
         for replica in candidates:
-            heir = in_place.get(replica.listing.address, replica)
-            standing = IncarnationState.CURRENT if heir is replica else IncarnationState.SUSPECT
-            if standing is not replica.incarnation_state:
-                self._set_state(replica, standing, cause, heir.replica_id)
+            current = current_by_address.get(replica.listing.address, replica)
+            state = IncarnationState.CURRENT if current is replica else IncarnationState.SUSPECT
+            if state is not replica.incarnation_state:
+                self._set_state(replica, state, cause, current.replica_id)
 
     def _set_state(
         self,
@@ -199,12 +201,12 @@
         return self._last_recency
 
     def get(self, replica_id: str) -> RelayReplica | None:
-        """Return a replica by id, with the work on it as of now."""
+        """Return a replica by id, with up-to-date load; None if it is not listed."""
         self.refresh()
         return self._replicas.get(replica_id)
 
     def is_listed(self, replica: RelayReplica) -> bool:
-        """Whether this very incarnation is listed."""
+        """Whether this incarnation is listed."""
         return self._replicas.get(replica.replica_id) is replica
 
     def of_service(self, service: str) -> list[RelayReplica]:
