--- a/winchfork/core/replica_notice.py
+++ b/winchfork/core/replica_notice.py
@@ -1,7 +1,7 @@
-"""What replicas say of themselves in their answers: that they drain, or want a pause.
+"""Notices in replicas' answers: draining, backoff and request limit.
 
-Such a notice concerns one incarnation. Draining is for good, a backoff has an end. Neither the
-platform's list nor a peer takes a notice back. Times are monotonic seconds, given in.
+A notice concerns one incarnation. Draining is permanent, a backoff ends. Neither the platform's
+list nor a peer can revoke a notice. Times are monotonic seconds, passed in by the caller.
 """
 
 from __future__ import annotations
@@ -13,34 +13,29 @@
 
 from winchfork.core.request_limit import RequestLimit
 
-#: The longest backoff that is heeded, in seconds. A replica that asks for more is tried once in
-#: this time, so that a value written wrongly does not cost it for good.
+#: Upper bound, in seconds, of the backoff that a replica may request.
 MAX_BACKOFF_S = 600.0
-#: The shortest backoff that peers are told of, and the longest that they heed, in seconds. A
-#: shorter one may be asked of one daemon by a replica that is full for a moment; told to all it
-#: would leave the replica idle. A longer one is heard again from the replica by the trial after it.
+#: Shortest backoff in seconds that is reported to peers; a shorter one may concern one daemon only.
 MIN_REPORTED_BACKOFF_S = 2.0
+#: Upper bound, in seconds, of a backoff that a peer reports.
 MAX_REPORTED_BACKOFF_S = 60.0
-#: Part of a backoff that is added to it, as drawn: daemons that were turned away together do not
-#: come back together.
+#: Largest jitter added to a backoff, as a share of it, so that daemons do not resume together.
 BACKOFF_JITTER_SHARE = 0.1
-#: Seconds for which a replica is left alone that may have said, before it was listed, that it
-#: leaves: one that does serves on for some seconds and ends, any other is tried after this time.
+#: Seconds of the pause for draining that this incarnation has not itself announced to this daemon.
 UNCONFIRMED_DRAINING_S = 15.0
-#: Seconds by which the clocks of a replica and of this machine are taken to differ.
+#: Assumed bound, in seconds, on the clock difference between a replica and this machine.
 CLOCK_TOLERANCE_S = 0.5
-#: Seconds that the first request after a backoff goes alone: a replica that still wants none turns
-#: it away within a round trip, between regions too.
+#: Seconds to wait for the answer to the trial request after a backoff before sending others.
 TRIAL_S = 0.25
 
 
 class AnswerNotice(msgspec.Struct, frozen=True):
-    """What one answer says of the replica that gave it.
+    """The notice in one answer of a replica.
 
-    ``backoff_s`` are the seconds for which it wants no requests; None: it asks for nothing.
-    ``unreadable`` says which words could not be read; empty where all could. ``limit_per_s`` is how
-    many requests a second it takes from all daemons together; None with ``names_limit``: it names
-    a limit that could not be read. ``unknown`` are names of words that this build does not know.
+    ``backoff_s`` is the requested backoff in seconds, None without one. ``unreadable`` holds the
+    fields that could not be parsed; empty if all could. ``limit_per_s`` is the limit in requests
+    per second over all daemons; None with ``has_limit`` means a limit that could not be parsed.
+    ``unknown_names`` are names of fields that this version does not support.
     """
 
     draining: bool = False
@@ -52,52 +47,52 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether the answer says nothing of its replica."""
-        asks = self.draining or self.has_limit or self.backoff_s is not None
-        return not (asks or self.unreadable or self.unknown_names)
+        """Whether the answer carries no notice."""
+        has_request = self.draining or self.has_limit or self.backoff_s is not None
+        return not (has_request or self.unreadable or self.unknown_names)
 
 
 class ReportedPause(msgspec.Struct, frozen=True):
-    """What a replica has said to a peer: that it drains, or that it wants a pause from now."""
+    """A replica's draining or remaining backoff in seconds, as reported by a peer."""
 
     draining: bool
     backoff_s: float
 
     @property
     def is_empty(self) -> bool:
-        """Whether it asks for nothing."""
+        """Whether it reports neither draining nor a backoff."""
         return not self.draining and self.backoff_s <= 0.0
 
 
 class NoticeChange(enum.Enum):
-    """What an answer's notice has changed."""
+    """The change that an answer's notice has caused."""
 
     NOTHING = "nothing"
     DRAINING = "draining"
-    #: A backoff has begun; one that only becomes longer is no change.
+    #: A backoff has begun; extending one is no change.
     BACKOFF = "backoff"
 
 
 class ReplicaNotice(msgspec.Struct):
-    """What one incarnation has said of itself so far, and whether it may be sent requests by that.
+    """The accumulated notices of one incarnation, and whether they allow a request now.
 
-    How many it may be sent is told by ``limit`` alone, which no other method here asks. After a
-    backoff one request goes first, on trial, and the others once it was not turned away.
+    After a backoff a single trial request is sent; others follow once it was not refused. The
+    methods here ignore ``limit``, which the caller has to check separately.
     """
 
     draining: bool = False
     backoff_until_s: float = 0.0
-    #: The end of the pause that it has asked this daemon for, if peers are to know of it.
+    #: The end of the backoff to report to peers.
     reported_backoff_until_s: float = 0.0
-    #: When it last said something of itself.
+    #: When draining or a backoff was last received.
     received_at_s: float = -math.inf
-    #: How many requests a second it takes from all daemons together.
+    #: Its limit on requests per second over all daemons.
     limit: RequestLimit = msgspec.field(default_factory=RequestLimit)
     _needs_trial: bool = False
     _trial_sent_s: float | None = None
 
     def record(self, notice: AnswerNotice, now_s: float, jitter: float = 0.0) -> NoticeChange:
-        """Take in what an answer says that was read at ``now_s``; ``draw`` is from 0 to 1."""
+        """Record the notice of an answer received at ``now_s``; ``jitter`` is from 0 to 1."""
         change = NoticeChange.NOTHING
         if notice.draining or notice.backoff_s:
             self.received_at_s = now_s
@@ -109,10 +104,10 @@
         return change
 
     def _back_off(self, backoff_s: float, now_s: float, jitter: float) -> bool:
-        """Begin a backoff or make it longer; True if none was under way."""
+        """Begin or extend a backoff; True if none was in progress."""
         was_backing_off = now_s < self.backoff_until_s
-        heeded_s = min(backoff_s, MAX_BACKOFF_S)
-        until_s = now_s + heeded_s * (1.0 + BACKOFF_JITTER_SHARE * jitter)
+        bounded_s = min(backoff_s, MAX_BACKOFF_S)
+        until_s = now_s + bounded_s * (1.0 + BACKOFF_JITTER_SHARE * jitter)
         if backoff_s >= MIN_REPORTED_BACKOFF_S:
             self.reported_backoff_until_s = max(self.reported_backoff_until_s, until_s)
         self._pause_until(until_s)
@@ -124,9 +119,10 @@
         self._trial_sent_s = None
 
     def apply_peer_pause(self, pause: ReportedPause, now_s: float) -> bool:
-        """Pause for what the replica has said to a peer; False if it is left alone by then anyway.
+        """Apply a peer's report; False if the replica is draining or already paused as long.
 
-        Draining that is not its own word to this daemon is a pause, with a trial at its end.
+        Draining reported by a peer causes a pause with a trial request at its end, not permanent
+        draining.
         """
         pause_s = (
             UNCONFIRMED_DRAINING_S
@@ -139,11 +135,11 @@
         return True
 
     def adopt(self, former: ReplicaNotice, started_s: float, now_s: float) -> bool:
-        """Take over what was heard as an earlier incarnation's word and may be this one's own.
+        """Adopt from an earlier incarnation's notice what this incarnation may have sent.
 
-        An answer does not tell which incarnation gave it, and one that has started may answer
-        before it is listed. Draining is taken over as a pause: if it was the other's word, it must
-        not cost this one for good. False where all was heard before this one ``started_s``.
+        Answers do not identify the incarnation, and a replica may answer before it is listed. So
+        everything received since ``started_s`` may be this one's own. Draining is adopted as a
+        pause only, because it may be the earlier incarnation's. False if nothing was adopted.
         """
         adopts_limit = self._adopt_limit(former.limit, started_s)
         if former.received_at_s <= started_s - CLOCK_TOLERANCE_S:
@@ -162,13 +158,13 @@
         return True
 
     def is_backing_off(self, now_s: float) -> bool:
-        """Whether the pause that it asked for lasts."""
+        """Whether a backoff or another pause is in progress."""
         return now_s < self.backoff_until_s
 
     def available_in_s(self, now_s: float) -> float:
-        """Return in how many seconds it may be sent a request, as far as it has asked for pauses.
+        """Return the seconds until a pause or trial allows a request; 0: now.
 
-        0: now. A draining replica never may, whatever this says.
+        Does not consider draining.
         """
         if self.is_backing_off(now_s):
             return self.backoff_until_s - now_s
@@ -177,17 +173,20 @@
         return 0.0
 
     def accepts_requests(self, now_s: float) -> bool:
-        """Whether it may be sent a request now by what it has said."""
+        """Whether it is neither draining nor paused at ``now_s``."""
         return not self.draining and self.available_in_s(now_s) <= 0.0
 
     def record_sent(self, now_s: float) -> None:
-        """A request is sent to it: after a backoff the first is the trial."""
+        """Record that a request is sent; the first one after a backoff is the trial request."""
         self.limit.record_sent(now_s)
         if self._needs_trial and self._trial_sent_s is None and not self.is_backing_off(now_s):
             self._trial_sent_s = now_s
 
     def record_answer(self, sent_s: float, *, refused: bool) -> None:
-        """A request that was sent then has been answered; the trial's answer decides."""
+        """Record the answer to a request sent at ``sent_s``; one sent after the pause ends a trial.
+
+        If it was ``refused``, another trial follows.
+        """
         if not self._needs_trial or sent_s < self.backoff_until_s:
             return
         self._trial_sent_s = None
--- a/winchfork/core/request_limit.py
+++ b/winchfork/core/request_limit.py
@@ -1,14 +1,13 @@
-"""How many requests a second one replica takes from all daemons together, and this daemon's part.
+"""A replica's limit on requests per second over all daemons, and this daemon's share of it.
 
-A replica names its limit in answers; it holds for one incarnation, for as long as answers say so.
-An equal part for each daemon would not do: with a bucket of one request each, ``D`` daemons may
-send ``D`` at once, whatever the limit. So only a few daemons may send, at most as many as the limit
-has whole requests a second: the first ones in an order that all daemons have for this replica. Each
-of these holders spaces its requests, mostly by about a second, and all others send elsewhere.
+Replicas announce a limit in their answers; it holds for one incarnation until an answer omits it.
+Only a few daemons, the holders, may send to a limited replica: the first ones in an order that all
+daemons compute alike, at most one for each whole request per second. Each holder spaces its
+requests evenly; all other daemons use other replicas.
 
-If nobody says anything of a limit for a while, because its holders are gone, get no callers or find
-cheaper replicas, the other daemons may try one request each, in turn. Times are monotonic seconds,
-given in.
+If no report of a limit arrives for a while, for example because the holders have no requests, the
+other daemons take turns to send one trial request each. Times are monotonic seconds, passed in by
+the caller.
 """
 
 from __future__ import annotations
@@ -18,29 +17,26 @@
 
 import msgspec
 
-#: Part of a limit that is used, and the seconds over which no more than the limit and one request
-#: are sent, however the holders' requests fall. They do not act in step, and each may send one more
-#: than its rate in such a time: the part that is left makes room for that.
+#: Share of a limit that the holders use together.
 MAX_UTILIZATION = 0.95
+#: Window in seconds in which the holders send at most the limit plus one request.
 WINDOW_S = 4.0
-#: Seconds by which a request may go before its time, if the one before went late: a place waits for
-#: its daemon's next request.
+#: Seconds by which a request may be sent before it is due.
 MAX_EARLY_S = 0.2
-#: Requests a second that are sent to a replica in any case, also to one that takes none: without an
-#: answer nobody learns that its limit has ended.
+#: Lower bound on requests per second to a limited replica, so that the end of a limit is noticed.
 MIN_REQUESTS_PER_S = 0.2
-#: Seconds after a change of the fleet's daemons in which a daemon does not begin to send in
-#: another's place: longer than it takes until all have heard of the change, since until then both
-#: may take themselves for the holder.
+#: Seconds after a membership change for which a new holder sends nothing, since the previous one
+#: may not yet know of the change.
 STABILIZATION_S = 4.0
-#: Seconds without a word on a limit after which the others may try in turn: longer than the pause
-#: between two requests to a replica that takes none. And seconds that each has.
+#: Seconds without a report of a limit after which non-holders take turns to send trial requests;
+#: has to exceed ``1 / MIN_REQUESTS_PER_S``.
 TRIAL_AFTER_SILENCE_S = 8.0
+#: Length in seconds of one daemon's turn for a trial request.
 TRIAL_TURN_S = 2.0
 
 
 class LimitChange(enum.Enum):
-    """What a word on a limit has changed."""
+    """The change that a report of a limit has caused."""
 
     NOTHING = "nothing"
     BEGUN = "begun"
@@ -49,16 +45,17 @@
 
 
 class LimitPosition(msgspec.Struct, frozen=True):
-    """This daemon's place, from 0, in the order of all ``daemons`` for one replica."""
+    """This daemon's rank, from 0, in the order of all ``daemons`` for one replica."""
 
     rank: int = 0
     daemons: int = 1
 
 
 def max_holders(per_s: float, daemons: int) -> int:
-    """Return how many daemons may share a limit, so that no window holds too many requests.
+    """Return the largest number of daemons that may share a limit without exceeding it.
 
-    More holders find requests for it sooner, each being a daemon with callers of its own.
+    A limit is exceeded when its holders could send more than the limit plus one request in
+    ``WINDOW_S``.
     """
     allowed = WINDOW_S * max(per_s, MIN_REQUESTS_PER_S) + 1.0
     for holders in range(max(1, min(daemons, int(per_s))), 1, -1):
@@ -73,28 +70,28 @@
 
 
 class RequestLimit(msgspec.Struct):
-    """The limit of one incarnation, as far as known, and when this daemon may send to it.
+    """The known limit of one incarnation, and when this daemon may send to it.
 
-    ``per_s`` is None while it names none. ``heard_s`` is when the newest word on it was heard by
-    any daemon: one that names it, or one that ended it.
+    ``per_s`` is the limit in requests per second, None without one. ``received_at_s`` is when any
+    daemon last received an answer that announced or ended the limit.
     """
 
     per_s: float | None = None
     received_at_s: float = -math.inf
     position: LimitPosition = LimitPosition()
-    #: How many daemons may send to it.
+    #: Number of daemons that may send to it.
     holders: int = 1
-    #: Until then another daemon may still send in this daemon's place.
+    #: Until then a previous holder may still send, and this daemon as a new holder must not.
     stable_at_s: float = -math.inf
     #: When the last request was due, or was sent if that was later.
     _last_due_s: float = -math.inf
-    #: Whether this daemon has had a place since the limit began.
+    #: Whether :meth:`set_position` was called since the limit began.
     _has_position: bool = False
 
-    # Words
+    # Reports of the limit
 
     def update(self, per_s: float, received_at_s: float) -> LimitChange:
-        """Take in that a limit was named in an answer; an older word changes nothing."""
+        """Record that an answer announced the limit; a report older than the last is ignored."""
         if received_at_s < self.received_at_s:
             return LimitChange.NOTHING
         self.received_at_s = received_at_s
@@ -107,7 +104,7 @@
         return LimitChange.NOTHING if known_per_s == per_s else LimitChange.CHANGED
 
     def clear(self, received_at_s: float) -> LimitChange:
-        """Take in that an answer named no limit any more; an older word changes nothing."""
+        """Record that an answer omitted the limit; a report older than the last is ignored."""
         if self.per_s is None or received_at_s < self.received_at_s:
             return LimitChange.NOTHING
         self.per_s = None
@@ -115,32 +112,32 @@
         return LimitChange.ENDED
 
     def may_be_ended_by_answer(self, sent_s: float) -> bool:
-        """Whether the answer to a request that was sent then was written after the last word.
+        """Whether the answer to a request sent at ``sent_s`` is newer than the last report.
 
-        Answers may pass each other; one that was asked for after the word was not written before.
+        Answers may arrive out of order, so only requests sent after the last report qualify.
         """
         return self.per_s is not None and sent_s > self.received_at_s
 
     def has_ended_since(self, sent_s: float) -> bool:
-        """Whether a limit has ended after a request was sent.
+        """Whether the limit has ended since a request was sent.
 
-        Its answer may have been written before, and would begin the limit again for all.
+        A limit in the answer to that request may be outdated.
         """
         return self.per_s is None and self.received_at_s > sent_s
 
     def adopt(self, former: RequestLimit) -> None:
-        """Take over what was heard as an earlier incarnation's word and is this one's own."""
+        """Adopt a limit that was attributed to an earlier incarnation but is this one's."""
         self.per_s = former.per_s
         self.holders = former.holders
         self.received_at_s = former.received_at_s
         self._last_due_s = former._last_due_s
 
-    # This daemon's part
+    # This daemon's share
 
     def set_position(self, position: LimitPosition, stable_at_s: float) -> None:
-        """Take a place in the order; one that becomes a holder sends nothing before ``settles_s``.
+        """Set this daemon's rank; a daemon that becomes a holder waits until ``stable_at_s``.
 
-        One that is a holder already goes on.
+        One that was a holder before may continue at once.
         """
         was_holder = self._has_position and self.is_holder
         self._has_position = True
@@ -151,16 +148,16 @@
 
     @property
     def is_holder(self) -> bool:
-        """Whether this daemon is one of them, by a limit that is known."""
+        """Whether a limit is known and this daemon is one of its holders."""
         return self.per_s is not None and self.position.rank < self.holders
 
     @property
     def interval_s(self) -> float:
-        """Seconds between two requests of one holder."""
+        """Seconds between two requests from one holder."""
         return _interval_s(self.per_s or 0.0, self.holders)
 
     def available_in_s(self, now_s: float) -> float:
-        """Return in how many seconds this daemon may send a request; 0: now, infinite: others."""
+        """Return the seconds until this daemon may send; infinite if only other daemons may."""
         if self.per_s is None:
             return 0.0
         if self.is_holder:
@@ -169,7 +166,7 @@
         return 0.0 if self._has_trial_turn(now_s) else math.inf
 
     def _has_trial_turn(self, now_s: float) -> bool:
-        """Whether it is this daemon's turn to try, nobody having said anything for long."""
+        """Whether no report has arrived for long and it is this daemon's turn for a trial."""
         silent_s = now_s - self.received_at_s - TRIAL_AFTER_SILENCE_S
         if silent_s < 0.0 or now_s - self._last_due_s < TRIAL_AFTER_SILENCE_S:
             return False
@@ -177,7 +174,7 @@
         return turn % self.position.daemons == self.position.rank
 
     def record_sent(self, now_s: float) -> None:
-        """A request is sent to it."""
+        """Record that a request is sent."""
         if self.per_s is None or not self.is_holder:
             self._last_due_s = now_s
         else:
--- a/winchfork/core/routing.py
+++ b/winchfork/core/routing.py
@@ -1,7 +1,8 @@
 """Routes, services, tenants and limits of a relayed deployment, as one immutable table.
 
-A route is found by host and longest path prefix. It says what may be repeated, how long a request
-may be held, and which services share its requests. Times are in seconds, sizes in bytes or tokens.
+Routes are matched by host and longest path prefix. A route defines whether its requests may be
+retried, their timeout, and the services that share them. Times are in seconds, sizes in bytes or
+tokens.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What an answer looks like and whether its request may run more than once."""
+    """The form of a route's answers and whether its requests may run more than once."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -23,14 +24,14 @@
 
 
 class ServiceShare(msgspec.Struct, frozen=True):
-    """One part of a route's traffic split; weights are relative."""
+    """A service's share of a route's traffic; weights are relative."""
 
     service: str
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True):
-    """One route. ``priority`` 0 is the most urgent; ``gap_target_s`` is 0 where none is set."""
+    """One route. ``priority`` 0 is the most urgent; ``gap_target_s`` is 0 if none is set."""
 
     name: str
     host: str
@@ -48,12 +49,16 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run again after an attempt whose outcome is unknown."""
+        """Whether a request may be retried after an attempt whose outcome is unknown."""
         return self.kind is RouteKind.SAFE or self.resumable
 
 
 class EngineProfile(msgspec.Struct, frozen=True):
-    """What operators say of a service's engines."""
+    """The configured properties of a service's engines.
+
+    ``cache_tokens`` is an engine's cache capacity, ``token_bytes`` the cache size of one token, and
+    ``link_mbps`` the bandwidth for copying cache.
+    """
 
     slots: int
     cache_tokens: int
@@ -64,9 +69,9 @@
 
 
 class CacheStore(msgspec.Struct, frozen=True):
-    """A store of kept cache outside the engines; ``address`` is ``IP:PORT``.
+    """A cache store outside the engines; ``address`` is ``IP:PORT``.
 
-    ``link_mbps`` 0: not known, as fast as the engines' own links.
+    ``link_mbps`` is the bandwidth of its link; 0: that of the engines' links.
     """
 
     address: str
@@ -85,9 +90,9 @@
 
 
 class TenantPolicy(msgspec.Struct, frozen=True):
-    """A tenant: its priority takes precedence over the route's; ``isolated`` shares no cache.
+    """A tenant. Its priority, if set, overrides the route's; an ``isolated`` one shares no cache.
 
-    ``limit`` is what it may use over all daemons together; None: as much as it likes.
+    ``limit`` applies over all daemons together; None: unlimited.
     """
 
     name: str
@@ -98,7 +103,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """What a caller may send, and how long it may take or stay idle."""
+    """Size limits and timeouts for callers."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -107,7 +112,7 @@
 
 
 class RoutingTable:
-    """One version of the operators' configuration with its look-ups. Immutable."""
+    """One version of the operators' configuration, with lookups. Immutable."""
 
     def __init__(
         self,
@@ -128,7 +133,7 @@
             self._routes_by_host.setdefault(route.host.lower(), []).append(route)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of ``host`` with the longest prefix that begins ``path``."""
+        """Return the route of ``host`` with the longest matching prefix of ``path``, or None."""
         name = host.rpartition(":")[0] if ":" in host else host
         for route in self._routes_by_host.get(name.lower(), ()):
             if path.startswith(route.path_prefix):
@@ -136,27 +141,26 @@
         return None
 
     def tenant_of(self, api_key: str) -> TenantPolicy | None:
-        """Return the tenant that holds ``api_key``."""
+        """Return the tenant that owns ``api_key``, or None."""
         return self._tenant_by_key.get(api_key)
 
     def cache_stores(self) -> list[CacheStore]:
-        """Return the stores of kept cache."""
+        """Return the configured cache stores."""
         return [item.store for item in self.services.values() if item.store]
 
 
 class TrafficSplitter:
-    """Deals requests to the parts of a split in proportion to their weights.
+    """Distributes a route's requests over its services in proportion to their weights.
 
-    Smooth weighted round-robin: in every run of requests each part's share is within one request
-    of its weight, so that no random excursion shows in a short window. State is kept for each
-    route and restarts when the route's split changes.
+    Uses smooth weighted round-robin: in any sequence of requests each service's share is within one
+    request of its weight. State is held for each route and is reset when the route's split changes.
     """
 
     def __init__(self) -> None:
         self._credit: dict[tuple[str, tuple[ServiceShare, ...]], dict[str, float]] = {}
 
     def choose(self, route: Route) -> str:
-        """Return the service whose turn it is."""
+        """Return the service for the next request."""
         if len(route.shares) == 1:
             return route.shares[0].service
         credit = self._credit.setdefault((route.name, route.shares), {})
@@ -168,6 +172,6 @@
         return chosen.service
 
     def forget_except(self, routes: Iterable[Route]) -> None:
-        """Drop the state of routes that are no longer configured."""
-        kept = {(route.name, route.shares) for route in routes}
-        self._credit = {key: value for key, value in self._credit.items() if key in kept}
+        """Drop the state of all routes but these."""
+        retained = {(route.name, route.shares) for route in routes}
+        self._credit = {key: value for key, value in self._credit.items() if key in retained}
--- a/winchfork/core/software_orders.py
+++ b/winchfork/core/software_orders.py
@@ -1,8 +1,8 @@
-"""Tells operators' orders apart by where the store holds them, over its returns from copies.
+"""Identifies operators' rollout orders across restores of the store from a backup.
 
-An order's number is the revision of its entry, in the era that the store is in: so all daemons,
-also those that have just started, call it alike. After a return the same order may be read as of a
-copy, or be written again under another revision, which is then its number.
+An order's number is the revision of its store entry in the store's current era, so it is the same
+on all daemons, including newly started ones. After a restore an order may be read at an older
+revision or be written again under a new one, which then becomes its number.
 """
 
 from __future__ import annotations
@@ -12,23 +12,26 @@
 from winchfork.core.software_state import SoftwareOrder
 from winchfork.core.store_position import StorePosition
 
-#: Orders of a service that are remembered, to tell one of a copy from a new one.
+#: Number of orders remembered for each service, to recognize them after a restore.
 MAX_ORDERS = 16
-#: Below the number of every order.
+#: Placeholder number, lower than that of any order.
 NO_ORDER = 0
 
 
 class OrderUpdate(msgspec.Struct, frozen=True):
-    """An order under its number now; ``former_number`` is that of before, None for a new order."""
+    """A new order, or a known one whose number has changed from ``previous_number``.
+
+    ``previous_number`` is None for a new order.
+    """
 
     order: SoftwareOrder
     previous_number: int | None = None
 
 
 class _Known(msgspec.Struct):
-    """The newest order of a service, and those that were read in its place, as they were read.
+    """The newest order of a service, and the latest orders ``read`` from its store entry.
 
-    ``era`` is that of the order's number; ``position`` is where its entry was last read.
+    ``era`` is the era of the order's number; ``position`` is the store position of the last read.
     """
 
     order: SoftwareOrder
@@ -42,28 +45,28 @@
 
     def __init__(self) -> None:
         self._known: dict[str, _Known] = {}
-        #: What orders are called now that had other numbers before the store's last returns.
+        #: Current numbers by service and earlier number, for orders renumbered after a restore.
         self._numbers: dict[tuple[str, int], int] = {}
 
     def current_number(self, service: str, number: int) -> int:
-        """Return what the order is called now that had a number before."""
+        """Return the current number of the order that had ``number`` before."""
         return self._numbers.get((service, number), number)
 
     def invalidate(self, service: str, number: int) -> None:
-        """No order of a service has this number any more."""
+        """Mark a number as belonging to no order of the service any more."""
         self._renumber(service, number, NO_ORDER)
 
     def _renumber(self, service: str, former: int, number: int) -> None:
         self._numbers = {
-            key: number if key[0] == service and called == former else called
-            for key, called in list(self._numbers.items())[-MAX_ORDERS:]
+            key: number if key[0] == service and current == former else current
+            for key, current in list(self._numbers.items())[-MAX_ORDERS:]
         }
         self._numbers[service, former] = number
-        # A revision that is given out again is a number of its own.
+        # After a restore the store may assign the same revision again.
         self._numbers.pop((service, number), None)
 
     def record(self, order: SoftwareOrder, position: StorePosition) -> OrderUpdate | None:
-        """Return what an entry says that is not known: a new order, or another number of one."""
+        """Record an order read at a store position; return an update, or None if nothing is new."""
         known = self._known.get(order.service)
         if known is None:
             self._known[order.service] = _Known(order, position.era, position, [order])
--- a/winchfork/core/task_placement.py
+++ b/winchfork/core/task_placement.py
@@ -1,4 +1,4 @@
-"""Which replica serves a request that has no prompt: the one expected to answer first."""
+"""Chooses the replica for a request without a prompt: the one expected to answer first."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from winchfork.core.region_map import Distance, RegionMap
 from winchfork.core.relay_replica import RelayReplica
 
-#: A latency measured longer ago than this is no longer held against a replica.
+#: Age in seconds at which a measured latency expires.
 LATENCY_MEMORY_S = 3.0
-#: Latency assumed of a replica that has not been measured lately.
+#: Latency in seconds assumed for a replica without a recent measurement.
 DEFAULT_LATENCY_S = 0.05
 
 
 class TaskPlacementRequest(msgspec.Struct, frozen=True):
     """A request without a prompt, at a daemon in ``zone``.
 
-    ``crossing_s`` is the charge for a replica in another region. ``connected`` are the replicas, by
-    hash, to which a connection waits; None: connections cost nothing.
+    ``cross_region_cost_s`` is the cost of a replica in another region. ``connected`` are the
+    replicas, by hash, with an idle connection; None: connections are free.
     """
 
     zone: str
@@ -47,9 +47,11 @@
 def _task_cost_s(request: TaskPlacementRequest, replica: RelayReplica) -> float:
     measured = request.now_s - replica.latency_at_s < LATENCY_MEMORY_S and replica.latency_s > 0
     latency_s = replica.latency_s if measured else DEFAULT_LATENCY_S
-    work = replica.running
+    running = replica.running
     slots = max(1, replica.listing.slots)
-    cost_s = latency_s * (1.0 + work / slots + max(0.0, math.ceil((work + 1 - slots) / slots)))
+    cost_s = latency_s * (
+        1.0 + running / slots + max(0.0, math.ceil((running + 1 - slots) / slots))
+    )
     distance = request.regions.distance(request.zone, replica.listing.zone)
     if distance is Distance.SAME_REGION:
         cost_s += OTHER_ZONE_COST_S
