--- a/winchfork/core/software_plan.py
+++ b/winchfork/core/software_plan.py
@@ -1,10 +1,9 @@
-"""The stages of a software rollout: when the next one begins, and how many requests it may take.
+"""Plans the stages of a software rollout: when the next stage begins and what share it gets.
 
-Nobody knows beforehand whether a version is bad, nor when it turns bad: at once, late, under load,
-or on one route. So the requests that it may get are a budget for the whole duration. A part of it
-is spent slowly, on a few replicas that bear as much each as all will later, while the evidence is
-thin. The rest of the move comes late and quickly, with the new replicas' capacity seen, so that a
-version which turns bad then has little time left to be used.
+The requests that an unapproved version may get form a budget for the whole rollout. The trial
+spends a part of it slowly on a few replicas, which get the per-replica load that all will have
+later. The move to full traffic is late and fast, which limits the exposure to a version that turns
+bad only then. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -16,53 +15,52 @@
 from winchfork.core.software_state import SoftwarePhase, SoftwareState, StopCause
 from winchfork.core.version_evidence import Assessment
 
-#: Orders that leave less time than this cannot be judged and carried out; seconds.
+#: Shortest duration, in seconds, of an order that is carried out.
 MIN_DURATION_S = 3.0
-#: Part of the exposure budget that the trial may spend; the rest is for the move, in which a bad
-#: version is used fully until it is noticed, for up to a second.
+#: Share of the exposure budget that the trial may spend; the rest is reserved for the move.
 TRIAL_BUDGET_SHARE = 0.25
-#: Part of the duration after which an approved version moves: late, so that one that turns bad has
-#: been seen to, and early enough that the last answers of the old replicas end in time.
+#: Share of the duration after which an approved version may move.
 MOVE_START_SHARE = 0.5
-#: Part of the time before the move in which the trial spends most of what it may: early, so that a
-#: version that is bad from the start is found soon; a little goes on being spent after that.
+#: Share of the time before the move in which the trial spends its budget share.
 TRIAL_SPEND_TIME_SHARE = 0.6
-#: What a trial may spend besides while its answers do not speak clearly: all of the service may
-#: have been slow or failing at that time.
+#: Additional share of the exposure budget for a trial that is still inconclusive after that time.
 UNDECIDED_BUDGET_SHARE = 0.12
-#: Most of the requests in a trial, where so few come that the allowance on top of the share counts.
+#: Upper bound on the share of requests that a trial gets.
 MAX_TRIAL_SHARE = 0.3
-#: Replicas in a trial at least, so that one which is slow or failing by itself can be told apart.
+#: Smallest number of trial replicas, if as many exist; allows to tell a faulty replica from a bad
+#: version.
 MIN_TRIAL_REPLICAS = 3
-#: Shares of the stages between the trial and the whole, and how long each is watched.
+#: Traffic shares of the stages between the trial and full traffic.
 MOVING_SHARES = (0.25, 0.5)
+#: Shortest duration of a moving stage, in seconds.
 STAGE_S = 0.4
-#: Seconds in which every daemon has heard of a stage, and the work that it sent before was told.
+#: Upper bound, in seconds, on the time until every daemon follows a new stage and has reported its
+#: load.
 PROPAGATION_S = 1.0
-#: Seconds before the time limit at which the last word is written.
+#: Seconds before the time limit at which the final record is written.
 FINAL_RECORD_MARGIN_S = 0.6
-#: Capacity that the target must show before traffic moves, as a share of that of the others.
+#: Slots that the target needs before traffic moves, as a share of the old replicas' slots.
 CAPACITY_SHARE = 0.9
-#: Part of the budget after which a version that has moved without approval gets nothing more. The
-#: rest is for requests under way and those sent until every daemon has heard, within 0.1 s: at 20
-#: requests a second some 4 of the 7 that 0.15 of a slack of 50 leaves.
+#: Share of the budget at which an unapproved version is stopped; the rest covers requests that are
+#: in flight or sent before every daemon knows of the stop.
 MAX_UNAPPROVED_BUDGET_SHARE = 0.85
-#: Answers, and seconds since the order, after which the rate of requests is known well enough to
-#: plan by it.
+#: Smallest number of answers from which the request rate is estimated.
 MIN_ANSWERS = 10
+#: Shortest time, in seconds since the order, over which the request rate is estimated.
 MIN_OBSERVED_S = 1.0
-#: The record is written again after this part of the duration, so that a fleet that is killed knows
-#: how much of it has passed; and not more often than this many seconds.
+#: Interval between checkpoints of the elapsed time, as a share of the duration.
 CHECKPOINT_SHARE = 0.125
+#: Shortest interval between checkpoints, in seconds.
 MIN_CHECKPOINT_S = 1.0
-#: A share is corrected when it is off by more than this part of it.
+#: Relative deviation from the planned share above which the share is corrected.
 SHARE_TOLERANCE = 0.2
 
 
 class ExposureLimits(msgspec.Struct, frozen=True):
-    """What a bad version may get at most: ``share`` of the requests and ``slack`` on top.
+    """Bounds on the requests that a bad version may get.
 
-    ``rollback_s`` is within what time after 50 bad answers it must get nothing more.
+    ``share`` is their share of all requests and ``slack`` the number allowed in addition.
+    ``rollback_s`` is the time after 50 bad answers within which it must get no more requests.
     """
 
     share: float = 0.1
@@ -71,11 +69,11 @@
 
 
 class RolloutView(msgspec.Struct, frozen=True):
-    """What the leader sees of one service. Times in seconds; slots of replicas that take work.
+    """The leader's view of one service. Times in seconds; slots of accepting replicas.
 
-    ``elapsed_s`` is how much of the plan has passed, by the records; ``left_s`` is until the time
-    limit, by the order. ``old_running`` is all that is under way at the old replicas if
-    ``everyone_heard``: work that a silent daemon has there is not known.
+    ``elapsed_s`` is the time since the order by the records; ``left_s`` is the time until its time
+    limit. ``old_running`` is the number of requests in flight on the old replicas; it is complete
+    only if ``all_daemons_reported``.
     """
 
     elapsed_s: float
@@ -88,10 +86,10 @@
     all_daemons_reported: bool
     new_answers: int
     all_answers: int
-    #: Answers a second of late, as this leader has counted them; None until it has for a while.
+    #: Recent answers per second as counted by this leader; None while it has too few samples.
     recent_per_s: float | None
     assessment: Assessment
-    #: Why the target gets nothing more, if that is so.
+    #: Why the target gets no more requests; None if it is not stopped.
     stop_cause: StopCause | None
     longest_run_s: float
 
@@ -106,19 +104,21 @@
 def next_step(
     state: SoftwareState, view: RolloutView, limits: ExposureLimits
 ) -> RolloutStep | None:
-    """Return the next record of a running rollout; None while nothing is to be written."""
+    """Return the next record of a running rollout; None if none is due."""
     if state.returning:
         return _return(state, view, limits)
     if view.stop_cause is StopCause.BAD:
-        return RolloutStep(state.rolled_back(judged_bad=True), "the version is bad")
+        return RolloutStep(state.rolled_back(judged_bad=True), "the version was found bad")
     overspent = has_exhausted_budget(
         state, view.assessment, view.new_answers, view.all_answers, limits
     )
     if view.stop_cause is StopCause.BUDGET_EXHAUSTED or overspent:
-        reason = "the budget is spent and the version not approved"
+        reason = "the exposure budget is exhausted and the version is not approved"
         return RolloutStep(state.rolled_back(judged_bad=False), reason)
     if state.duration_s < MIN_DURATION_S:
-        return RolloutStep(state.rolled_back(judged_bad=False), "the duration is too short")
+        return RolloutStep(
+            state.rolled_back(judged_bad=False), "the ordered duration is below the minimum"
+        )
     if state.phase is SoftwarePhase.MOVED:
         return _finish(state, view, limits)
     if state.phase is SoftwarePhase.MOVING:
@@ -129,9 +129,9 @@
 
 
 def latest_move_s(state: SoftwareState, view: RolloutView) -> float:
-    """Return how long after the order a move may still begin and end in time.
+    """Return the latest time since the order at which a move may begin and still end in time.
 
-    One that has begun goes on: the old replicas then have less time for their last answers.
+    A move that has already begun continues after that.
     """
     drain_s = PROPAGATION_S + min(view.longest_run_s, 0.2 * state.duration_s)
     stages_s = STAGE_S * len(MOVING_SHARES)
@@ -141,26 +141,27 @@
 
 def _timeout_reason(state: SoftwareState, view: RolloutView) -> str:
     if not view.new_replicas:
-        return "no replica of the version came"
+        return "no replica of the version accepted requests in time"
     if not _has_capacity(view):
-        return "too few replicas of the version came"
+        return "too few replicas of the version accepted requests in time"
     if view.assessment is not Assessment.GOOD:
         return "the version was not approved in time"
-    return "the time is up"
+    return "the time limit has passed"
 
 
 def _return(state: SoftwareState, view: RolloutView, limits: ExposureLimits) -> RolloutStep | None:
-    """Stay at the version in force: others get nothing, and stop when they have finished."""
+    """Send all requests to the version in force and finish once the others are idle."""
     if state.phase is not SoftwarePhase.MOVED:
         moved = state.advanced(SoftwarePhase.MOVED, 0.0, view.elapsed_s)
-        return RolloutStep(moved, "the version in force is ordered")
+        return RolloutStep(moved, "the order names the version in force")
     return _finish(state, view, limits)
 
 
 def _finish(state: SoftwareState, view: RolloutView, limits: ExposureLimits) -> RolloutStep | None:
-    # Silence is not idleness: operators stop the old replicas on this word.
+    # Operators stop the old replicas once the rollout is completed, so a missing report must not
+    # count as idle.
     idle = view.all_daemons_reported and not view.old_running
-    # Nothing bounds what a version gets once it is in force.
+    # Once a version is in force, its requests are no longer limited.
     bounded = state.unapproved and view.assessment is not Assessment.GOOD
     final = not bounded or _can_afford_all(state, view, limits)
     if view.stage_s >= PROPAGATION_S and idle and final:
@@ -168,8 +169,11 @@
     if view.left_s > FINAL_RECORD_MARGIN_S:
         return None
     if state.returning or _has_capacity(view):
-        return RolloutStep(state.completed(), "the time is up")
-    return RolloutStep(state.rolled_back(judged_bad=False), "the new replicas are gone")
+        return RolloutStep(state.completed(), "the time limit has passed")
+    return RolloutStep(
+        state.rolled_back(judged_bad=False),
+        "too few replicas of the version accept requests at the time limit",
+    )
 
 
 def _move_on(state: SoftwareState, view: RolloutView) -> RolloutStep | None:
@@ -180,8 +184,11 @@
     for share in MOVING_SHARES:
         if share > state.share:
             moving = state.advanced(SoftwarePhase.MOVING, share, view.elapsed_s)
-            return RolloutStep(moving, "no fault was seen")
-    return RolloutStep(state.advanced(SoftwarePhase.MOVED, 1.0, view.elapsed_s), "all moves")
+            return RolloutStep(moving, "no fault was found at the previous stage")
+    return RolloutStep(
+        state.advanced(SoftwarePhase.MOVED, 1.0, view.elapsed_s),
+        "no fault was found at the last stage",
+    )
 
 
 def _begin_move(
@@ -193,22 +200,21 @@
     moving = state.advanced(SoftwarePhase.MOVING, MOVING_SHARES[0], view.elapsed_s)
     if view.assessment is Assessment.GOOD:
         return RolloutStep(moving, "the version is approved")
-    # Fewer answers tell nothing: slow versions were put in force in 14 of 24 runs of real processes
-    # on a machine with four times the work that it bears, which had let few requests through.
+    # Anything weaker than PROBABLE rests on too few answers to move an unapproved version.
     if view.assessment is Assessment.PROBABLE and _can_afford_all(state, view, limits):
         unapproved = msgspec.structs.replace(moving, unapproved=True)
-        return RolloutStep(unapproved, "what is left is within the budget")
+        return RolloutStep(unapproved, "the remaining requests fit into the exposure budget")
     return None
 
 
 def _can_afford_all(state: SoftwareState, view: RolloutView, limits: ExposureLimits) -> bool:
-    """Whether a bad version might get everything from now on: a service with few requests.
+    """Whether all remaining requests of the rollout fit into the exposure budget.
 
-    So few answers come there that no test could approve a version in time.
+    This is so for services with few requests, where answers are too few to approve a version.
     """
     if not view.new_answers or view.elapsed_s <= 0.0 or view.recent_per_s is None:
         return False
-    # The mean since the order is too low where faults kept requests away or lost their counts.
+    # The mean since the order is too low if faults blocked requests or lost counts in that time.
     per_s = max(view.all_answers / view.elapsed_s, view.recent_per_s)
     left = per_s * (state.duration_s - view.elapsed_s)
     return view.new_answers + left <= _budget(state, limits, per_s)
@@ -221,9 +227,9 @@
     all_answers: int,
     limits: ExposureLimits,
 ) -> bool:
-    """Whether a version that moved without approval has got about all that a bad one may.
+    """Whether a version that moved without approval has nearly used up its exposure budget.
 
-    More requests may have come since than were expected. Counted in answers so far.
+    The budget is computed from the answers so far, since more requests than expected may arrive.
     """
     if not state.unapproved or assessment is Assessment.GOOD:
         return False
@@ -233,32 +239,32 @@
 def _advance_trial(
     state: SoftwareState, view: RolloutView, limits: ExposureLimits
 ) -> RolloutStep | None:
-    """Begin the trial, correct its share, or write down how much time has passed."""
-    wanted = min(MIN_TRIAL_REPLICAS, max(1, view.new_replicas))
-    if view.new_replicas < wanted or not view.new_slots:
+    """Begin the trial, correct its share, or record the elapsed time."""
+    min_replicas = min(MIN_TRIAL_REPLICAS, max(1, view.new_replicas))
+    if view.new_replicas < min_replicas or not view.new_slots:
         return None
     share = trial_share(state, view, limits)
-    replicas = max(wanted, math.ceil(share * view.new_replicas))
+    replicas = max(min_replicas, math.ceil(share * view.new_replicas))
     trial = state.advanced(SoftwarePhase.TRIAL, share, view.elapsed_s, replicas)
     if not state.share:
-        return RolloutStep(trial, "replicas of the version take work")
-    was_blind = state.share == _initial_share(limits) and _knows_rate(view)
+        return RolloutStep(trial, "replicas of the version accept requests")
+    rate_became_known = state.share == _initial_share(limits) and _is_rate_known(view)
     checkpoint_s = max(MIN_CHECKPOINT_S, CHECKPOINT_SHARE * state.duration_s)
-    if view.stage_s < checkpoint_s and not was_blind:
+    if view.stage_s < checkpoint_s and not rate_became_known:
         return None
     if abs(share - state.share) <= SHARE_TOLERANCE * state.share:
         trial = msgspec.structs.replace(trial, share=state.share)
-    return RolloutStep(trial, "trial")
+    return RolloutStep(trial, "the trial continues")
 
 
 def trial_share(state: SoftwareState, view: RolloutView, limits: ExposureLimits) -> float:
-    """Return the part of the requests that the trial may take from now until the move.
+    """Return the share of requests that the trial may get from now until the move.
 
-    Planned by the requests seen so far, less what the version has got already.
+    It is computed from the request rate so far and the unspent part of the budget.
     """
-    least = _initial_share(limits)
-    if not _knows_rate(view):
-        return least
+    initial = _initial_share(limits)
+    if not _is_rate_known(view):
+        return initial
     per_s = view.all_answers / view.elapsed_s
     budget = _budget(state, limits, per_s)
     move_s = MOVE_START_SHARE * state.duration_s
@@ -268,24 +274,21 @@
         left_s = move_s - view.elapsed_s
         spend += UNDECIDED_BUDGET_SHARE
     share = max(0.0, spend * budget - view.new_answers) / (per_s * max(STAGE_S, left_s))
-    return min(MAX_TRIAL_SHARE, max(least / 4, share))
+    return min(MAX_TRIAL_SHARE, max(initial / 4, share))
 
 
 def _budget(state: SoftwareState, limits: ExposureLimits, per_s: float) -> float:
-    """Return the requests that a bad version may get of a service that gets ``per_s`` a second."""
+    """Return the exposure budget, in requests, of a service that gets ``per_s`` requests/s."""
     return limits.share * per_s * state.duration_s + limits.slack
 
 
-def _knows_rate(view: RolloutView) -> bool:
-    """Whether enough was seen, for long enough: the first answers are told some tenths late."""
+def _is_rate_known(view: RolloutView) -> bool:
+    """Whether answers are numerous enough, over a long enough time, to estimate the rate."""
     return view.all_answers >= MIN_ANSWERS and view.elapsed_s >= MIN_OBSERVED_S
 
 
 def _initial_share(limits: ExposureLimits) -> float:
-    """Return the share of a trial while nobody knows how many requests come.
-
-    It is corrected as soon as that is known: where few come, the allowance on top is worth more.
-    """
+    """Return the trial's share while the request rate is not known."""
     return TRIAL_BUDGET_SHARE * limits.share
 
 
--- a/winchfork/core/software_state.py
+++ b/winchfork/core/software_state.py
@@ -1,12 +1,12 @@
-"""How far the rollout of a service's software has come: the durable record and its rules.
+"""The durable record of a service's software rollout and its transitions.
 
 Replicas of one service may run several versions of its software. One version is in force. An
-operator's order names another, the target, whose replicas are started beside the old ones; traffic
-moves to it in stages, or back. Each stage is written to the platform's store before any daemon acts
-on it, so that what a daemon knows is never ahead of what a restart would find. Stopping the target
-needs no such agreement: any daemon may, at any time, send it nothing.
+operator's order names a target version, whose replicas are started beside the old ones; traffic
+moves to the target in stages, or back. Each stage is written to the platform's store before any
+daemon acts on it, so that a restart never finds an earlier stage than the daemons followed. Any
+daemon may stop sending requests to the target at any time, without a record.
 
-Not to be confused with rollouts of model weights, which replicas load in place.
+Rollouts of model weights are separate; see :mod:`winchfork.core.weight_rollout`.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
 
 import msgspec
 
-#: Versions that were judged bad and are remembered for each service.
+#: Number of rejected versions recorded for each service.
 MAX_REJECTED_VERSIONS = 16
 
 
 class SoftwarePhase(enum.Enum):
     """The stage of a service's rollout."""
 
-    #: One version gets everything.
+    #: One version gets all requests.
     STABLE = "settled"
     #: A small share of requests goes to a few replicas of the target.
     TRIAL = "trial"
-    #: The share rises, and every replica of the target takes part.
+    #: The share rises in stages, over all replicas of the target.
     MOVING = "moving"
-    #: Everything new goes to the target; the other versions finish what they have.
+    #: All new requests go to the target; the other versions drain.
     MOVED = "moved"
 
 
 class RolloutOutcome(enum.Enum):
-    """How an order stands, as operators are told."""
+    """The status of an order as reported to operators."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -42,18 +42,18 @@
 
 
 class StopCause(enum.Enum):
-    """Why a target gets nothing more, whatever the record says."""
+    """Why a target gets no more requests, regardless of the record."""
 
     #: It was found bad.
     BAD = "bad"
-    #: It was not approved, and has got what a bad version may get.
+    #: It was not approved and has used up the exposure budget.
     BUDGET_EXHAUSTED = "budget_spent"
 
 
 class SoftwareOrder(msgspec.Struct, frozen=True):
     """An operator's order to move a service to ``target`` within ``duration_s``.
 
-    ``revision`` is that of its entry in the store and tells one order from the next.
+    ``revision`` is that of its store entry and identifies the order.
     """
 
     service: str
@@ -65,10 +65,11 @@
 class SoftwareState(msgspec.Struct, frozen=True):
     """The durable record of one service.
 
-    ``in_force`` is the version that gets what the target does not. ``share`` is the part of the
-    service's requests that may go to the target, on its first ``trial_replicas`` replicas while the
-    phase is TRIAL. ``elapsed_s`` is how long ago the order was given when this was written.
-    ``unapproved``: the target has moved on since all that was expected fitted into the budget.
+    ``in_force`` is the version that gets the requests that the target does not get. ``share`` is
+    the share of the service's requests that may go to the target, on its first ``trial_replicas``
+    replicas while the phase is TRIAL. ``elapsed_s`` is the time from the order to the writing of
+    this record. ``unapproved``: the target moved without approval because all expected requests
+    fitted into the exposure budget.
     """
 
     service: str
@@ -91,11 +92,11 @@
 
     @property
     def returning(self) -> bool:
-        """Whether the order says to stay at, or go back to, the version in force."""
+        """Whether the order's target is the version in force."""
         return self.running and self.target == self.in_force
 
     def is_earlier_than(self, other: SoftwareState) -> bool:
-        """Whether another record of the same service was written after this one."""
+        """Whether ``other``, a record of the same service, was written after this one."""
         own_age = (self.order_revision, self.elapsed_s)
         return own_age < (other.order_revision, other.elapsed_s)
 
@@ -119,7 +120,7 @@
         )
 
     def rolled_back(self, *, judged_bad: bool) -> SoftwareState:
-        """Return the record of a rollout that was given up; a bad target is remembered as such."""
+        """Return the record of a rollout that was rolled back, with a bad target added to it."""
         bad = (*self.judged_bad, self.target) if judged_bad else self.judged_bad
         return msgspec.structs.replace(
             self,
@@ -133,8 +134,8 @@
     def with_order(self, order: SoftwareOrder) -> SoftwareState:
         """Return the record with a new order.
 
-        The same target once more goes on where it is, with a new time limit: what it has been given
-        is not given again. Another target begins from nothing.
+        An order with the same target continues at the current stage with a new time limit, so that
+        the exposure budget is not granted twice. Another target begins a new trial.
         """
         known = msgspec.structs.replace(
             self,
@@ -156,10 +157,10 @@
 
 
 class VersionRule(msgspec.Struct, frozen=True):
-    """Which versions a request may go to: ``first``, and ``otherwise`` when none of it takes work.
+    """The versions that a request may go to.
 
-    ``otherwise`` is empty where there is no second choice. ``trial_replicas`` bounds how many
-    replicas of ``first`` take part; 0: all.
+    ``fallback`` is used when no replica of ``preferred`` accepts requests; empty: none.
+    ``trial_replicas`` is the number of replicas of ``preferred`` that take part; 0: all.
     """
 
     preferred: str
@@ -168,10 +169,10 @@
 
 
 def version_rule(state: SoftwareState, *, on_target: bool) -> VersionRule:
-    """Return where a request goes; ``on_target`` if it is one of those that go to the target.
+    """Return the versions for a request; ``on_target``: it was selected for the target.
 
-    The version in force never hands a request on to the target: that would exceed the share when
-    the old replicas fail, however little is known of the new ones.
+    The target is never the fallback for the version in force, because failing old replicas would
+    then push the target over its share.
     """
     if state.phase is SoftwarePhase.MOVED:
         fallback = "" if state.returning else state.in_force
@@ -182,9 +183,10 @@
 
 
 def infer_in_force(accepting: Iterable[str], listed: Iterable[str], target: str = "") -> str:
-    """Return the version that is in force where no record says so; "" where none is listed.
+    """Return the version assumed to be in force without a record; "" if no version is listed.
 
-    That is the one of most replicas. The target of an order that no record mentions yet is not.
+    It is the version of most accepting replicas, or else of most listed ones. ``target``, the
+    target of an order without a record, is excluded.
     """
     for versions in (accepting, listed):
         counts: dict[str, int] = {}
@@ -197,8 +199,8 @@
 
 
 def select_trial_replicas(hashes: Sequence[int], count: int) -> frozenset[int]:
-    """Return the replicas, by the hash of their ids, that take part in a trial of ``count``.
+    """Return the hashes of the ``count`` replicas that take part in a trial.
 
-    The same on every daemon that knows the same replicas.
+    The result is the same on every daemon that knows the same replicas.
     """
     return frozenset(sorted(hashes)[:count])
