--- a/winchfork/core/policies/__init__.py
+++ b/winchfork/core/policies/__init__.py
@@ -1,1 +1,1 @@
-"""Placement policies, one a file, chosen by name."""
+"""Placement policies, one per module, chosen by name."""
--- a/winchfork/core/policies/expected_time.py
+++ b/winchfork/core/policies/expected_time.py
@@ -1,13 +1,12 @@
-"""winchfork's policy: the least expected cost in seconds, weighed for the traffic class.
+"""The default policy: least expected cost in seconds, weighted for the traffic class.
 
 cost = first_token * (queued prefill + import + own prefill)
      + recompute * (own prefill + displacement)
 
-where the own prefill leaves out the blocks believed cached, and those that are copied from another
-replica when copying is quicker than computing. Queued prefill on the holder of a hot prefix raises
-its cost until another replica is cheaper: that is how a family widens. The spill goes to the
-replicas next in the family's rendezvous order, so that every daemon widens to the same ones, and
-the family narrows by itself when the queue is gone.
+The own prefill excludes blocks that are assumed cached, and blocks that are copied from another
+replica where a copy is faster than a prefill. Queued prefill on the holder of a hot prefix raises
+its cost until another replica is cheaper, so a hot family spreads over more replicas: those next in
+the family's rendezvous order, the same on every daemon. It contracts again as the queue drains.
 """
 
 from __future__ import annotations
@@ -28,22 +27,22 @@
 )
 from winchfork.core.rendezvous import mixed_order
 
-#: Share of newly stored blocks' prefill time charged for the blocks that they push out.
+#: Cost of the blocks that new blocks evict, as a share of the new blocks' prefill time.
 DISPLACEMENT_WEIGHT = 0.5
-#: Seconds of waiting charged for each request already decoding on the replica (batch slowdown).
+#: Cost in seconds per request that is already running on the replica (batch slowdown).
 RUNNING_REQUEST_COST_S = 0.004
-#: Seconds charged across a family's rendezvous order, first choice to last; breaks ties the same
-#: way on every daemon without outweighing real queues.
+#: Largest cost in seconds by the family's rendezvous order; breaks ties the same way on every
+#: daemon.
 RANK_COST_S = 0.05
 #: Seconds to set up a copy, whatever its size.
 IMPORT_SETUP_S = 0.02
-#: Candidates kept for the explanation.
+#: Number of candidates reported with a decision.
 EXPLAINED_CANDIDATES = 4
 
 
 @dataclasses.dataclass(frozen=True)
 class _Source:
-    """The replica that holds the most of the prompt."""
+    """The replica with the longest cached prefix of the prompt."""
 
     replica_id: str
     blocks: int
@@ -104,7 +103,10 @@
 def _work(
     request: PlacementRequest, replica: Replica, cached_blocks: int, source: _Source
 ) -> tuple[float, float, float, int]:
-    """Return seconds of own prefill, of prefill without copying, of copying; blocks copied."""
+    """Return own prefill, prefill without a copy, and copy, in seconds, and the imported blocks.
+
+    Imported blocks are the leading blocks cached after the copy; 0 without one.
+    """
     prefix = request.prefix
     load = replica.load
     rate = load.prefill_tokens_per_s
--- a/winchfork/core/policies/least_loaded.py
+++ b/winchfork/core/policies/least_loaded.py
@@ -1,4 +1,4 @@
-"""Baselines by load alone: the least loaded replica, and the lesser of two random ones."""
+"""Baselines by load: the least loaded replica, and the less loaded of two random ones."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     def choose(
         self, request: PlacementRequest, replicas: Sequence[Replica], matched: Mapping[str, int]
     ) -> PlacementDecision:
-        """Return the less loaded of two draws."""
+        """Return the less loaded of two random replicas."""
         drawn = self._generator.sample(list(replicas), min(2, len(replicas)))
         replica = min(drawn, key=_load_key)
         cached = matched.get(replica.replica_id, 0)
--- a/winchfork/core/policies/registry.py
+++ b/winchfork/core/policies/registry.py
@@ -26,11 +26,11 @@
 
 
 def make_policy(name: str, generator: random.Random) -> PlacementPolicy | Failure:
-    """Build the policy called ``name``."""
+    """Build the policy called ``name``; a failure if there is none."""
     factory = POLICIES.get(name)
     if factory is None:
         known = ", ".join(sorted(POLICIES))
         return FailureKind.INVALID_REQUEST.because(
-            f"no placement policy is called {name!r}", remedy=f"use one of: {known}"
+            f"unknown placement policy {name!r}", remedy=f"use one of: {known}"
         )
     return factory(generator)
--- a/winchfork/core/policies/rendezvous.py
+++ b/winchfork/core/policies/rendezvous.py
@@ -1,4 +1,4 @@
-"""Baselines by prefix hash: rendezvous on the family, plain and with bounded load."""
+"""Baselines by rendezvous hashing on the prefix family, plain and with bounded load."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from winchfork.core.placement import PlacementDecision, PlacementReason, PlacementRequest, decide
 from winchfork.core.rendezvous import rendezvous_rank
 
-#: A replica is full at this multiple of the mean load (bounded-load consistent hashing).
+#: Load bound as a multiple of the mean load (bounded-load consistent hashing).
 BOUND_FACTOR = 1.25
 
 
@@ -26,12 +26,12 @@
 
 
 class BoundedRendezvous:
-    """Walks the family's choices and takes the first replica under the load bound."""
+    """Sends a request to the first replica in the family's order that is under the load bound."""
 
     def choose(
         self, request: PlacementRequest, replicas: Sequence[Replica], matched: Mapping[str, int]
     ) -> PlacementDecision:
-        """Return the first choice whose load is under the bound."""
+        """Return the first replica under the bound, or the first choice if there is none."""
         by_id = {replica.replica_id: replica for replica in replicas}
         total = sum(replica.outstanding_requests() for replica in replicas) + 1
         bound = BOUND_FACTOR * total / len(replicas)
--- a/winchfork/core/policies/round_robin.py
+++ b/winchfork/core/policies/round_robin.py
@@ -9,7 +9,7 @@
 
 
 class RoundRobin:
-    """Ignores cache and load."""
+    """Chooses the replicas in turn, regardless of cache and load."""
 
     def __init__(self) -> None:
         self._turn = 0
