--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of real peer sides before a replica that names a limit, in virtual time.
+"""A simulated replica with a request limit in front of daemons that exchange peer messages.
 
-Daemons send whenever their own beliefs say that they may; the replica answers with the limit that
-it names at that moment, on a real record of each daemon.
+Runs in virtual time. Daemons send whenever their own state allows it; each answer of the replica
+announces its current limit.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def install_limited_replica(daemon: Daemon, started_at_ms: int = 0) -> None:
-    """List the replica to a daemon."""
+    """Install the replica's listing at a daemon."""
     listing = ReplicaListing(
         REPLICA, "s", "a:2", "z1", 8, True, {"m": 1}, started_at_ms=started_at_ms
     )
@@ -28,7 +28,7 @@
 
 
 class LimitedReplica:
-    """One replica that every daemon knows."""
+    """One replica that is listed at every daemon, with a limit of ``per_s`` requests per second."""
 
     def __init__(self, network: Network, daemons: list[Daemon], per_s: float | None = None) -> None:
         self.network = network
@@ -42,18 +42,18 @@
             install_limited_replica(daemon)
 
     def replica_at(self, daemon: Daemon) -> RelayReplica:
-        """Return what a daemon believes of it."""
+        """Return a daemon's state of the replica."""
         replica = daemon.state.fleet.get(REPLICA)
         assert replica is not None
         return replica
 
     def limits(self) -> list[float | None]:
-        """Return the limit that each living daemon knows of."""
-        living = [item for item in self.daemons if item.ip in self.network.groups]
-        return [self.replica_at(daemon).notice.limit.per_s for daemon in living]
+        """Return the limit known to each running daemon."""
+        running = [item for item in self.daemons if item.ip in self.network.groups]
+        return [self.replica_at(daemon).notice.limit.per_s for daemon in running]
 
     def send_if_allowed(self, daemon: Daemon, *, skip_check: bool = False) -> bool:
-        """Send it a request of a daemon, if its beliefs allow that."""
+        """Send a request from a daemon if its state allows it; return whether it was sent."""
         if daemon.ip not in self.network.groups:
             return False
         now_s = daemon.state.clock()
@@ -75,7 +75,7 @@
             daemon.state.notices.record(replica, notice, sent_s)
 
     async def generate_load(self, seconds: float, requests_per_s: float = 10.0) -> None:
-        """Let each daemon have so many requests a second for it, at random times."""
+        """Generate ``requests_per_s`` requests at each daemon, at random times."""
         loop = asyncio.get_running_loop()
         until_s = loop.time() + seconds
         mean_s = 1.0 / (requests_per_s * len(self.daemons))
@@ -84,12 +84,12 @@
             self.send_if_allowed(self._random.choice(self.daemons))
 
     def max_in_window(self, from_s: float) -> int:
-        """Return the most requests that came in any 4 s since then."""
-        came_s = [at_s for at_s in self.arrivals_s if at_s >= from_s]
+        """Return the largest number of requests that arrived in any 4 s since ``from_s``."""
+        arrivals_s = [at_s for at_s in self.arrivals_s if at_s >= from_s]
         return max(
             (
-                number + 1 - bisect.bisect_right(came_s, at_s - WINDOW_S)
-                for number, at_s in enumerate(came_s)
+                number + 1 - bisect.bisect_right(arrivals_s, at_s - WINDOW_S)
+                for number, at_s in enumerate(arrivals_s)
             ),
             default=0,
         )
--- a/tests/test_engine_speed.py
+++ b/tests/test_engine_speed.py
@@ -1,4 +1,4 @@
-"""The speed of engines is learned from first tokens, within bounds."""
+"""Tests the estimate of an engine's prefill rate from times to first token, and its bounds."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 from winchfork.core.routing import RouteKind
 
 
-def learned(rate: float, first_token_s: float, samples: int = 60) -> float:
+def estimated_rate(rate: float, first_token_s: float, samples: int = 60) -> float:
+    """Return the estimate after samples of short and long prompts at a true ``rate``."""
     speed = EngineSpeed()
     for number in range(samples):
         tokens = 100 if number % 2 else 3_000 + 100 * number
@@ -26,23 +27,27 @@
 
 
 class EngineSpeedTest(unittest.TestCase):
-    def test_fast_and_slow_engines_are_told_from_the_prior(self) -> None:
-        """Engines of a third of the assumed rate lost their calm day: queues seemed short."""
+    def test_estimate_converges_to_rates_above_and_below_the_initial_one(self) -> None:
+        """Guards against underestimated queues where engines are slower than assumed."""
         for rate in (13_000.0, 57_000.0, 120_000.0):
-            self.assertAlmostEqual(learned(rate, 0.03) / rate, 1.0, delta=0.15)
+            self.assertAlmostEqual(estimated_rate(rate, 0.03) / rate, 1.0, delta=0.15)
 
-    def test_prompts_of_middle_length_say_nothing(self) -> None:
+    def test_prompts_of_medium_length_are_ignored(self) -> None:
         speed = EngineSpeed()
         speed.record_first_token(1_000, 5.0)
         self.assertEqual(speed.prefill_tokens_per_s, PRIOR_PREFILL_TOKENS_PER_S)
 
-    def test_absurd_times_lead_no_further_than_the_bounds(self) -> None:
-        self.assertGreaterEqual(learned(1.0, 0.0), PRIOR_PREFILL_TOKENS_PER_S / MAX_PRIOR_RATIO)
-        self.assertLessEqual(learned(1e12, 0.0), PRIOR_PREFILL_TOKENS_PER_S * MAX_PRIOR_RATIO)
+    def test_extreme_samples_are_clamped(self) -> None:
+        self.assertGreaterEqual(
+            estimated_rate(1.0, 0.0), PRIOR_PREFILL_TOKENS_PER_S / MAX_PRIOR_RATIO
+        )
+        self.assertLessEqual(
+            estimated_rate(1e12, 0.0), PRIOR_PREFILL_TOKENS_PER_S * MAX_PRIOR_RATIO
+        )
 
 
-class LearnedOnThePathTest(RelayTestCase):
-    async def test_a_prompt_read_alone_is_learned_from(self) -> None:
+class RelayedPromptTest(RelayTestCase):
+    async def test_a_prompt_without_a_queue_updates_the_estimate(self) -> None:
         def stream(request: ReceivedRequest) -> bytes:
             return stream_head(request) + chunk(event(1)) + b"0\r\n\r\n"
 
--- a/tests/test_limit_fleet.py
+++ b/tests/test_limit_fleet.py
@@ -1,8 +1,6 @@
-"""Daemons that tell each other of limits, in virtual time on a virtual network.
+"""Tests the exchange of request limits between daemons, in virtual time on a virtual network.
 
-In a large fleet nearly every request to one replica is its daemon's first. So a daemon that knows
-only of its own answers would send at least one request more, whatever the limit, and one that sends
-nothing would never hear of its end.
+Guards against exceeding a limit that other daemons already know, and against missing its end.
 """
 
 from __future__ import annotations
@@ -16,25 +14,25 @@
 from winchfork.core.request_limit import MIN_REQUESTS_PER_S, TRIAL_AFTER_SILENCE_S
 from winchfork.router.peer_messages import Forward, LimitEntry, ReplicaNoticeEntry, ReplicaNotices
 
-#: All daemons know within this time what one has heard.
-TOLD_WITHIN_S = 0.5
-CONTACT_S = 3.0
-#: A daemon may spend 6,000 bytes a second on control at the target size, where one replica in
-#: fifty, twelve in all, may name limits at once: a fifth of it is for these.
-MOST_BYTES_PER_S = 6000.0 / 5 / 12
+#: Time within which all daemons receive a change of a limit.
+PROPAGATION_S = 0.5
+#: Time within which a new daemon learns of a limit.
+JOIN_S = 3.0
+#: Bandwidth of a daemon's messages for one limit: a fifth of 6,000 bytes/s for twelve limits.
+MAX_BYTES_PER_S = 6000.0 / 5 / 12
 
 
-def allowed(per_s: float) -> float:
-    """Return the most requests that any 4 s may hold."""
+def max_requests(per_s: float) -> float:
+    """Return the allowed number of requests in any 4 s while membership changes."""
     return 1.5 * per_s * 4.0 + 5
 
 
 class LimitFleetTest(unittest.TestCase):
-    def test_one_answer_tells_all_and_the_end_too(self) -> None:
+    def test_all_daemons_receive_the_beginning_and_the_end_of_a_limit(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons, 1.0)
             replica.send_if_allowed(daemons[0])
-            await asyncio.sleep(TOLD_WITHIN_S)
+            await asyncio.sleep(PROPAGATION_S)
             self.assertEqual(set(replica.limits()), {1.0})
             replica.per_s = None
             await replica.generate_load(3.0)
@@ -47,7 +45,7 @@
         for count in (3, 15, 42):
             run_with_daemons(count, scenario)
 
-    def test_the_sum_over_all_daemons_is_kept(self) -> None:
+    def test_the_sum_over_all_daemons_stays_within_the_limit(self) -> None:
         for count in (7, 15, 42):
             for per_s in (0.0, 0.5, 1.0, 3.0, 8.0):
 
@@ -55,17 +53,17 @@
                     network: Network, daemons: list[Daemon], per_s: float = per_s
                 ) -> None:
                     replica = LimitedReplica(network, daemons, per_s)
-                    from_s = daemons[0].state.clock() + TOLD_WITHIN_S
+                    from_s = daemons[0].state.clock() + PROPAGATION_S
                     await replica.generate_load(40.0)
-                    most = replica.max_in_window(from_s)
-                    self.assertLessEqual(most, 4 * max(per_s, MIN_REQUESTS_PER_S) + 2)
+                    in_window = replica.max_in_window(from_s)
+                    self.assertLessEqual(in_window, 4 * max(per_s, MIN_REQUESTS_PER_S) + 2)
                     used = sum(at_s > from_s for at_s in replica.arrivals_s) / 39.5
                     self.assertGreaterEqual(used, 0.85 * per_s)
 
                 with self.subTest(count=count, per_s=per_s):
                     run_with_daemons(count, scenario)
 
-    def test_killed_holders_are_followed_by_others(self) -> None:
+    def test_killed_holders_are_replaced_by_others(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons, 3.0)
             await replica.generate_load(6.0)
@@ -74,42 +72,42 @@
                 if replica.replica_at(daemon).notice.limit.is_holder:
                     daemon.kill(network)
             await replica.generate_load(20.0)
-            self.assertLessEqual(replica.max_in_window(from_s), allowed(3.0))
+            self.assertLessEqual(replica.max_in_window(from_s), max_requests(3.0))
             late = [at_s for at_s in replica.arrivals_s if at_s > from_s + 15.0]
             self.assertGreaterEqual(len(late), 9)
 
         for count in (7, 42):
             run_with_daemons(count, scenario)
 
-    def test_a_daemon_that_starts_knows_within_seconds(self) -> None:
+    def test_a_new_daemon_learns_of_a_limit_within_seconds(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons, 1.0)
             await replica.generate_load(6.0)
-            newcomer = Daemon(network, len(daemons) + 1)
-            install_limited_replica(newcomer)
-            await replica.generate_load(CONTACT_S)
-            self.assertEqual(replica.replica_at(newcomer).notice.limit.per_s, 1.0)
-            from_s = newcomer.state.clock()
-            daemons.append(newcomer)
+            new_daemon = Daemon(network, len(daemons) + 1)
+            install_limited_replica(new_daemon)
+            await replica.generate_load(JOIN_S)
+            self.assertEqual(replica.replica_at(new_daemon).notice.limit.per_s, 1.0)
+            from_s = new_daemon.state.clock()
+            daemons.append(new_daemon)
             await replica.generate_load(10.0)
-            self.assertLessEqual(replica.max_in_window(from_s), allowed(1.0))
+            self.assertLessEqual(replica.max_in_window(from_s), max_requests(1.0))
 
         run_with_daemons(15, scenario)
 
-    def test_one_that_has_just_started_holds_nothing_before_it_knows_the_others(self) -> None:
+    def test_a_new_daemon_is_no_holder_before_it_knows_the_others(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons, 3.0)
             network.drop = lambda sender, receiver: True
-            newcomer = Daemon(network, len(daemons) + 1)
-            install_limited_replica(newcomer)
-            replica.send_if_allowed(newcomer)
+            new_daemon = Daemon(network, len(daemons) + 1)
+            install_limited_replica(new_daemon)
+            replica.send_if_allowed(new_daemon)
             await asyncio.sleep(1.0)
-            self.assertEqual(replica.replica_at(newcomer).notice.limit.per_s, 3.0)
-            self.assertFalse(replica.send_if_allowed(newcomer))
+            self.assertEqual(replica.replica_at(new_daemon).notice.limit.per_s, 3.0)
+            self.assertFalse(replica.send_if_allowed(new_daemon))
 
         run_with_daemons(3, scenario)
 
-    def test_one_that_stood_still_sends_no_more_than_what_it_had_in_hand(self) -> None:
+    def test_a_daemon_sends_at_most_one_request_after_a_stall(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons, 1.0)
             await replica.generate_load(6.0)
@@ -121,11 +119,11 @@
             self.assertTrue(replica.send_if_allowed(holders[0]))
             self.assertFalse(replica.send_if_allowed(holders[0]))
             await replica.generate_load(10.0)
-            self.assertLessEqual(replica.max_in_window(from_s), allowed(1.0))
+            self.assertLessEqual(replica.max_in_window(from_s), max_requests(1.0))
 
         run_with_daemons(7, scenario)
 
-    def test_holders_without_callers_hear_of_the_end_in_the_others_turns(self) -> None:
+    def test_trial_requests_of_others_reveal_the_end_to_idle_holders(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons, 1.0)
             await replica.generate_load(6.0)
@@ -137,8 +135,8 @@
 
         run_with_daemons(7, scenario)
 
-    def test_messages_are_few(self) -> None:
-        """One daemon tells of a limit that goes on, however many send; hubs pass it on."""
+    def test_messages_stay_within_the_bandwidth(self) -> None:
+        """An unchanged limit is reported by one daemon and relayed by hubs, whoever sends."""
 
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons, 8.0)
@@ -155,15 +153,15 @@
             network.on_sent = count
             await replica.generate_load(20.0)
             self.assertGreater(len(sizes), 0)
-            self.assertLess(sum(sizes) / 20.0 / len(daemons), MOST_BYTES_PER_S)
+            self.assertLess(sum(sizes) / 20.0 / len(daemons), MAX_BYTES_PER_S)
 
         for daemons in (7, 42):
             run_with_daemons(daemons, scenario)
 
 
 class NearestHoldersTest(unittest.TestCase):
-    def test_daemons_near_a_replica_hold_its_limit(self) -> None:
-        """Where they lie in another zone, nobody else may send and they send elsewhere."""
+    def test_holders_are_in_the_zone_of_the_replica(self) -> None:
+        """Holders in another zone would prefer other replicas and leave the limit unused."""
 
         async def main() -> None:
             network = Network()
@@ -172,69 +170,69 @@
             await asyncio.sleep(4.0)
             replica = LimitedReplica(network, daemons, 3.0)
             replica.send_if_allowed(daemons[0])
-            await asyncio.sleep(TOLD_WITHIN_S)
+            await asyncio.sleep(PROPAGATION_S)
             holders = [item for item in daemons if replica.replica_at(item).notice.limit.is_holder]
             self.assertEqual([item.state.settings.zone for item in holders], ["z1"] * 3)
 
         run_virtually(main())
 
 
-class HearsayTest(unittest.TestCase):
-    def test_one_peer_alone_does_not_empty_a_service(self) -> None:
+class PeerReportTest(unittest.TestCase):
+    def test_one_peer_alone_cannot_disable_all_replicas_of_a_service(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             daemon = daemons[0]
             replicas = [daemon.state.fleet.get(name) for name in ("i-1", "i-2")]
-            notes = tuple(
+            entries = tuple(
                 ReplicaNoticeEntry(item.order_hash, False, 0, LimitEntry(0.0, 0))
                 for item in replicas
                 if item
             )
-            told = ReplicaNotices("n2", notes)
-            network.groups[daemon.ip]._handlers[ReplicaNotices](told)
+            message = ReplicaNotices("n2", entries)
+            network.groups[daemon.ip]._handlers[ReplicaNotices](message)
             limits = [item.notice.limit.per_s for item in replicas if item]
             self.assertEqual(limits, [0.0, None])
-            network.groups[daemon.ip]._handlers[ReplicaNotices](ReplicaNotices("n3", notes))
+            network.groups[daemon.ip]._handlers[ReplicaNotices](ReplicaNotices("n3", entries))
             limits = [item.notice.limit.per_s for item in replicas if item]
             self.assertEqual(limits, [0.0, 0.0])
 
         run_with_daemons(3, scenario)
 
-    def test_an_older_word_changes_nothing_and_one_of_an_unknown_replica_neither(self) -> None:
+    def test_older_reports_and_reports_of_unknown_replicas_are_ignored(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons, 2.0)
             replica.send_if_allowed(daemons[0])
-            await asyncio.sleep(TOLD_WITHIN_S)
-            take = network.groups[daemons[0].ip]._handlers[ReplicaNotices]
+            await asyncio.sleep(PROPAGATION_S)
+            handle = network.groups[daemons[0].ip]._handlers[ReplicaNotices]
             key = replica.replica_at(daemons[0]).order_hash
             old, unknown = LimitEntry(None, 5000), LimitEntry(1.0, 0)
-            notes = (
+            entries = (
                 ReplicaNoticeEntry(key, False, 0, old),
                 ReplicaNoticeEntry(5, False, 0, unknown),
             )
-            take(ReplicaNotices("n2", notes))
+            handle(ReplicaNotices("n2", entries))
             self.assertEqual(replica.replica_at(daemons[0]).notice.limit.per_s, 2.0)
-            take(ReplicaNotices("n2", (ReplicaNoticeEntry(key, False, 0, LimitEntry(None, 0)),)))
+            handle(ReplicaNotices("n2", (ReplicaNoticeEntry(key, False, 0, LimitEntry(None, 0)),)))
             self.assertIsNone(replica.replica_at(daemons[0]).notice.limit.per_s)
 
         run_with_daemons(3, scenario)
 
-    def test_what_a_former_life_said_binds_no_successor(self) -> None:
+    def test_a_limit_received_before_the_start_of_an_incarnation_is_not_adopted(self) -> None:
         self._restart(started_s_ago=-5.0, limit_per_s=None)
 
-    def test_what_it_said_before_it_was_listed_binds_itself(self) -> None:
+    def test_a_limit_received_since_the_start_of_an_incarnation_is_adopted(self) -> None:
         self._restart(started_s_ago=5.0, limit_per_s=1.0)
 
     def _restart(self, started_s_ago: float, limit_per_s: float | None) -> None:
-        """List a later incarnation after a limit was heard; check what is known of its limit."""
+        """List a later incarnation after a limit was received; check the limit known for it."""
 
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replica = LimitedReplica(network, daemons, 1.0)
             replica.send_if_allowed(daemons[0])
-            await asyncio.sleep(TOLD_WITHIN_S)
+            await asyncio.sleep(PROPAGATION_S)
             for daemon in daemons:
                 daemon.state.fleet.remove(REPLICA)
-                born_s = daemon.state.notices.wall_clock() - started_s_ago
-                install_limited_replica(daemon, int(born_s * 1000))
+                started_at_s = daemon.state.notices.wall_clock() - started_s_ago
+                install_limited_replica(daemon, int(started_at_s * 1000))
             self.assertEqual(set(replica.limits()), {limit_per_s})
 
         run_with_daemons(3, scenario)
--- a/tests/test_place_queue.py
+++ b/tests/test_place_queue.py
@@ -1,13 +1,7 @@
-"""Who gets the places of replicas that name limits, where no other replica has room.
+"""Tests the queue for permits of replicas with request limits.
 
-Four replicas that took 31 streams a second named 3 a second each. Of 72 requests of a tenant that
-comes first 36 were in time, 22 late and 14 turned away, as of all others: every request looked for
-a place again and again until its deadline, and whichever looked first after one had opened took
-it. When the limits ended, 151 that had waited went out within a second.
-
-Now they wait in a queue by priority, and what has no place soon is told so at once: of the 72
-urgent ones 63 are in time, 9 late and none is lost, and of all 744 requests 445 are in time, where
-378 were.
+Guards against urgent requests that lose permits to less urgent ones, and against requests that wait
+until their deadline where an early refusal is possible.
 """
 
 from __future__ import annotations
@@ -28,23 +22,23 @@
 
 
 def limited(per_s: str) -> ScriptedReplica:
-    """Return a replica that names a limit in each answer."""
+    """Return a replica that announces a limit in each answer."""
     extra = f"Server-Limit: {per_s}\r\n"
     return ScriptedReplica(answering(lambda r: signed(r, b"ok", extra=extra)))
 
 
-class ScarcePlacesTest(RelayTestCase):
-    async def scarce(self, per_s: str) -> tuple[RelayUnderTest, ScriptedReplica]:
+class ScarcePermitsTest(RelayTestCase):
+    async def limited_relay(self, per_s: str) -> tuple[RelayUnderTest, ScriptedReplica]:
         """Return a router that has just sent a request to its only replica, which is limited."""
         replica = limited(per_s)
         relay = await self.relay(replica, target_latency_s=1.0)
         self.assertEqual((await relay.ask("id-0")).status, 200)
         return relay, replica
 
-    async def test_the_urgent_are_served_first_and_who_has_no_place_is_told_at_once(self) -> None:
-        relay, replica = await self.scarce("2")
+    async def test_urgent_requests_are_served_first_and_excess_ones_refused_early(self) -> None:
+        relay, replica = await self.limited_relay("2")
         loop = asyncio.get_running_loop()
-        begun_s = loop.time()
+        started_s = loop.time()
         usual = [asyncio.create_task(relay.ask(f"usual-{number}")) for number in range(6)]
         await asyncio.sleep(0.1)
         urgent = await relay.ask("urgent-0", key=URGENT_KEY)
@@ -55,7 +49,7 @@
         served = [answer for answer in answers if answer.status == 200]
         self.assertGreaterEqual(len(served), 1)
         self.assertGreaterEqual(len(refused), 3)
-        self.assertLess(loop.time() - begun_s, 2.0)
+        self.assertLess(loop.time() - started_s, 2.0)
         for answer in refused:
             self.assert_not_run(answer)
             self.assertIn(b"limit", answer.body)
@@ -65,20 +59,20 @@
         self.assertGreaterEqual(effects.labels("waited").value, 2)
         self.assertEqual(relay.state.metrics.sent_under_limit.labels("i-0").value, len(served) + 1)
 
-    async def test_few_requests_wait_for_a_place_that_comes_in_time(self) -> None:
-        relay, _ = await self.scarce("0.5")
+    async def test_a_request_waits_for_a_permit_that_is_available_in_time(self) -> None:
+        relay, _ = await self.limited_relay("0.5")
         answer = await relay.ask("id-1")
         self.assertEqual(answer.status, 200)
 
 
-class PlaceQueueTest(unittest.TestCase):
-    def test_places_are_counted_over_all_replicas(self) -> None:
+class PermitQueueTest(unittest.TestCase):
+    def test_permits_are_counted_over_all_replicas(self) -> None:
         openings = [PermitOpening(0.0, 1.0), PermitOpening(0.5, 2.0), PermitOpening(math.inf, 1.0)]
         expected = [0.0, 0.5, 1.0, 2.0, 2.5, 3.0, 4.0, 4.5]
         self.assertEqual([permit_in_s(openings, ahead) for ahead in range(8)], expected)
         self.assertEqual(permit_in_s([], 0), math.inf)
 
-    def test_who_comes_first_is_decided_by_priority_then_by_order(self) -> None:
+    def test_requests_are_served_by_priority_then_by_arrival(self) -> None:
         queue = PermitQueue()
         first, second, urgent = queue.join(1), queue.join(1), queue.join(0)
         self.assertEqual([queue.ahead(ticket) for ticket in (urgent, first, second)], [0, 1, 2])
@@ -88,13 +82,13 @@
         queue.leave(second)
         self.assertEqual(len(queue), 0)
 
-    def test_patience_is_half_the_objective_or_two_places(self) -> None:
+    def test_the_longest_wait_is_half_the_objective_or_two_permit_intervals(self) -> None:
         self.assertEqual(max_permit_wait_s([PermitOpening(0.3, 0.1)], target_s=0.8), 0.4)
         self.assertEqual(max_permit_wait_s([PermitOpening(0.3, 2.0)], target_s=0.8), 4.0)
         self.assertEqual(max_permit_wait_s([PermitOpening(math.inf, 2.0)], target_s=0.8), 0.4)
 
-    def test_a_long_overload_serves_in_time_what_it_serves(self) -> None:
-        """Twelve places and thirty requests a second, a tenth of them urgent, for 20 s."""
+    def test_requests_served_in_a_long_overload_are_served_in_time(self) -> None:
+        """Twelve permits and thirty requests per second, a tenth of them urgent, for 20 s."""
         queue, waiting = PermitQueue(), dict[PermitTicket, float]()
         openings = [PermitOpening(0.0, 1.0 / 3.0)] * 4
         due_s = [0.0] * 4
@@ -119,7 +113,7 @@
                 del waiting[ticket]
         self.assertEqual(refused[0], 0)
         self.assertGreater(refused[1], 250)
-        # The four places open together: who comes first waits for one place's time at most.
+        # The four replicas' permits coincide, so an urgent request waits for one interval at most.
         self.assertLess(max(waits_s[0]), 1.0 / 3.0 + 0.02)
         self.assertLess(max(waits_s[1]), 0.8)
         self.assertGreater(len(waits_s[0]) + len(waits_s[1]), 0.95 * 12 * 20)
--- a/tests/test_region_placement.py
+++ b/tests/test_region_placement.py
@@ -1,4 +1,4 @@
-"""Where prompts go, and what is copied, in a fleet of two regions."""
+"""Tests placement and copies of cached parts in a deployment of two regions."""
 
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
 
 REGIONS = RegionMap({"a1": "a", "a2": "a", "b1": "b", "b2": "b"})
 ZONES = ("a1", "a2", "b1", "b2")
-#: A model whose parts are copied twice as fast as read in a zone, and a fifth as fast from afar.
-READ_RATE = 50_000.0
+#: Tokens per second. A copy within a zone takes half as long as a prefill, one between regions five
+#: times as long.
+PREFILL_RATE = 50_000.0
 COPY_RATE = 106_000.0
-CROSSING_S = 0.09
+CROSS_REGION_COST_S = 0.09
 
 
 def place(
@@ -37,10 +38,10 @@
         SCOPE,
         zone,
         copy_tokens_per_s=COPY_RATE,
-        prefill_tokens_per_s=READ_RATE,
+        prefill_tokens_per_s=PREFILL_RATE,
         stores=stores or {},
         regions=REGIONS,
-        cross_region_cost_s=CROSSING_S,
+        cross_region_cost_s=CROSS_REGION_COST_S,
     )
     sources = [*replicas, *(choice.store for choice in (stores or {}).values())]
     decision = place_prompt(request, replicas, sources, index or PartIndex())
@@ -55,14 +56,14 @@
         self.assertIs(REGIONS.distance("a1", "b1"), Distance.OTHER_REGION)
         self.assertEqual(REGIONS.regions_among(("b2", "a1", "b1")), ["a", "b"])
 
-    def test_a_zone_that_the_settings_do_not_name_is_near_everything(self) -> None:
+    def test_a_zone_without_a_region_counts_as_the_same_region(self) -> None:
         self.assertIs(REGIONS.distance("a1", "new"), Distance.SAME_REGION)
         self.assertFalse(REGIONS.is_cross_region("new", "b1"))
 
 
 class HomesTest(unittest.TestCase):
-    def test_a_family_has_a_home_in_each_region_and_stays_in_its_callers(self) -> None:
-        """With one home in the whole fleet half of all prompts crossed the link."""
+    def test_a_family_has_a_home_in_each_region_and_is_placed_in_the_callers(self) -> None:
+        """Guards against a single home, for which half of all prompts cross regions."""
         replicas = fleet_of(12, ZONES)
         for number in range(20):
             family = f"f{number}"
@@ -73,18 +74,18 @@
                 homes.setdefault(REGIONS.region_of(zone), set()).add(chosen.replica_id)
             self.assertEqual({region: len(ids) for region, ids in homes.items()}, {"a": 1, "b": 1})
 
-    def test_prompts_cross_when_their_region_is_behind_and_the_other_is_not(self) -> None:
+    def test_prompts_cross_regions_when_only_their_own_has_a_queue(self) -> None:
         replicas = fleet_of(8, ZONES)
         for replica in replicas:
             if replica.listing.zone.startswith("a"):
-                replica.peer_pending_prefill_tokens = int(0.4 * READ_RATE)
+                replica.peer_pending_prefill_tokens = int(0.4 * PREFILL_RATE)
         self.assertTrue(place(replicas).replica.listing.zone.startswith("b"))
 
     def test_a_region_without_replicas_is_served_by_the_other(self) -> None:
         replicas = fleet_of(8, ("b1", "b2"))
         self.assertEqual(place(replicas, zone="a1").replica, place(replicas, zone="b1").replica)
 
-    def test_a_task_crosses_only_for_more_than_its_round_trip(self) -> None:
+    def test_a_task_crosses_regions_only_if_it_saves_more_than_the_round_trip(self) -> None:
         replicas = fleet_of(2, ("a1", "b1"))
         replicas[0].in_flight = 8
         task = TaskPlacementRequest("a1", 0.0, REGIONS, cross_region_cost_s=0.03)
@@ -98,8 +99,8 @@
 
 
 class CopiesTest(unittest.TestCase):
-    def test_nothing_is_copied_from_another_region_where_reading_is_faster(self) -> None:
-        """Copies between regions take ten times as long and were predicted at twice."""
+    def test_nothing_is_copied_from_another_region_if_prefill_is_faster(self) -> None:
+        """Guards against underestimating the time of copies between regions."""
         replicas, index = fleet_of(4, ZONES), PartIndex()
         keys = shared_keys(SCOPE, prompt("f"), 1)
         for replica in replicas:
@@ -110,7 +111,7 @@
         self.assertIsNone(decision.copy_from)
         self.assertEqual(decision.prefill_tokens, prompt("f").prompt_tokens)
 
-    def test_the_nearest_of_several_keepers_is_copied_from(self) -> None:
+    def test_the_nearest_of_several_replicas_is_copied_from(self) -> None:
         replicas, index = fleet_of(8, ZONES), PartIndex()
         keys = shared_keys(SCOPE, prompt("f"), 1)
         home = place(replicas).replica
@@ -123,7 +124,7 @@
         assert decision.copy_from is not None
         self.assertEqual(decision.copy_from.listing.zone, home.listing.zone)
 
-    def test_a_store_is_asked_and_saved_to_in_the_replicas_own_region(self) -> None:
+    def test_the_store_of_the_replicas_region_is_queried_and_saved_to(self) -> None:
         replicas = fleet_of(8, ZONES)
         near, far = fleet_of(1, ("a1",))[0], fleet_of(2, ("a1", "b1"))[1]
         near.order_hash, far.order_hash = 1, 2
@@ -135,7 +136,7 @@
         self.assertIsNone(alone.copy_from)
         self.assertIsNone(alone.save_to)
 
-    def test_each_region_has_a_home_for_a_family_among_its_own_stores(self) -> None:
+    def test_each_region_assigns_a_family_to_one_of_its_own_stores(self) -> None:
         zones = {"k1": "a1", "k2": "a2", "k3": "b1"}
         services = [
             Service(name, store=CacheStore(f"{name}:1", zone, 1000)) for name, zone in zones.items()
@@ -152,14 +153,14 @@
 
 
 class RegionDelayTest(unittest.TestCase):
-    def test_the_charge_for_crossing_follows_what_replies_take(self) -> None:
+    def test_the_cross_region_cost_follows_measured_round_trips(self) -> None:
         delay = RegionDelay()
         for _ in range(100):
             delay.record_reply(0.2)
         self.assertAlmostEqual(delay.round_trip_s, 0.2, places=2)
         self.assertGreater(delay.prompt_crossing_s, 0.5)
 
-    def test_one_late_reply_moves_it_little(self) -> None:
+    def test_one_late_reply_has_little_effect(self) -> None:
         delay = RegionDelay()
         delay.record_reply(30.0)
         self.assertLess(delay.round_trip_s, 1.5 * PRIOR_ROUND_TRIP_S)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, weighted splits, tenants, cache scopes."""
+"""Tests route matching, weighted traffic splits, tenants, cache scopes and cache stores."""
 
 from __future__ import annotations
 
@@ -42,17 +42,17 @@
             [TenantPolicy("school", ("key-1", "key-2"), priority=1)],
         )
 
-    def test_the_longest_prefix_of_the_host_wins(self) -> None:
+    def test_the_longest_prefix_of_the_host_matches(self) -> None:
         self.assertEqual(self.table.match("a.example", "/x/y/z").name, "long")  # type: ignore[union-attr]
         self.assertEqual(self.table.match("A.example:80", "/x/z").name, "short")  # type: ignore[union-attr]
         self.assertIsNone(self.table.match("a.example", "/xy"))
         self.assertIsNone(self.table.match("b.example", "/x/"))
 
-    def test_keys_belong_to_tenants(self) -> None:
+    def test_tenants_are_found_by_api_key(self) -> None:
         self.assertEqual(self.table.tenant_of("key-2").name, "school")  # type: ignore[union-attr]
         self.assertIsNone(self.table.tenant_of("key-3"))
 
-    def test_only_safe_and_resumable_requests_may_run_again(self) -> None:
+    def test_only_safe_and_resumable_requests_may_be_retried(self) -> None:
         self.assertTrue(route("s", "h", "/").repeatable)
         self.assertFalse(route("u", "h", "/", kind=RouteKind.UNSAFE).repeatable)
         self.assertFalse(route("t", "h", "/", kind=RouteKind.STREAMING).repeatable)
@@ -60,7 +60,7 @@
 
 
 class SplitTest(unittest.TestCase):
-    def test_every_run_of_requests_keeps_to_the_weights(self) -> None:
+    def test_every_window_of_requests_follows_the_weights(self) -> None:
         split = route("r", "h", "/", shares=(ServiceShare("a", 90), ServiceShare("b", 10)))
         chooser = TrafficSplitter()
         chosen = [chooser.choose(split) for _ in range(200)]
@@ -68,12 +68,12 @@
             window = Counter(chosen[start : start + 50])
             self.assertLessEqual(abs(window["b"] - 5), 1)
 
-    def test_a_part_of_weight_zero_gets_nothing(self) -> None:
+    def test_a_service_of_weight_zero_gets_nothing(self) -> None:
         split = route("r", "h", "/", shares=(ServiceShare("a", 1), ServiceShare("b", 0)))
         chooser = TrafficSplitter()
         self.assertEqual({chooser.choose(split) for _ in range(50)}, {"a"})
 
-    def test_routes_that_are_gone_are_forgotten(self) -> None:
+    def test_the_state_of_removed_routes_is_dropped(self) -> None:
         split = route("r", "h", "/", shares=(ServiceShare("a", 1), ServiceShare("b", 1)))
         chooser = TrafficSplitter()
         chooser.choose(split)
@@ -102,8 +102,8 @@
 
 
 class CacheStoresTest(unittest.TestCase):
-    def test_each_family_has_one_home_among_the_stores_on_every_daemon(self) -> None:
-        """Grown deployments have three stores; one took every family, and its link was full."""
+    def test_families_are_spread_over_the_stores_alike_on_every_daemon(self) -> None:
+        """Guards against a single store that gets all families and saturates its link."""
         services = [
             Service(f"store{number}", store=CacheStore(f"10.0.0.{number}:1", f"z{number}", 1000))
             for number in range(3)
