--- a/tests/test_cache_store_copies.py
+++ b/tests/test_cache_store_copies.py
@@ -1,4 +1,4 @@
-"""What is copied from the store of kept cache: what it may keep unheard, and at which pace."""
+"""Tests copies from cache stores: queries without data on the store, rates and configuration."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 ENGINE = EngineProfile(64, 100_000, 20_000, 500_000.0, ("m",))
 
 
-class UnheardPartsTest(unittest.TestCase):
-    def test_a_daemon_that_knows_nothing_asks_the_store(self) -> None:
-        """A daemon that had restarted had every family read again that the store kept."""
+class UnknownPartsTest(unittest.TestCase):
+    def test_a_daemon_without_data_queries_the_store(self) -> None:
+        """Guards against repeated prefill of stored parts after a restart of the daemon."""
         replicas, store = fleet_of(3), fleet_of(9)[8]
         placement = PromptPlacementRequest(
             prompt("f"), SCOPE, "z1", copy_tokens_per_s=COPY_RATE, stores=store_choices(store)
@@ -31,7 +31,7 @@
         self.assertIs(decision.copy_from, store)
         self.assertIs(decision.save_to, store)
 
-    def test_parts_that_are_read_as_fast_as_asked_for_are_not_asked_for(self) -> None:
+    def test_the_store_is_not_queried_for_short_prompts(self) -> None:
         replicas, store = fleet_of(3), fleet_of(9)[8]
         short = Prompt("m", (PromptPart("f", 100), PromptPart("own", 400)), 500)
         placement = PromptPlacementRequest(
@@ -44,14 +44,14 @@
 
 class StoreLinkTest(unittest.TestCase):
     def place(self, store_tokens_per_s: float) -> bool:
-        """Return whether a prompt waits 50 ms for its keeper; the store keeps it as well."""
+        """Return whether a prompt that is also in the store waits for its holder's queue."""
         replicas, index, store = fleet_of(2), PartIndex(), fleet_of(9)[8]
         request = prompt("f")
         keys = shared_keys(SCOPE, request, 1)
-        keeper = replicas[0]
-        index.record_cached(keys, keeper.order_hash, 1.0)
+        holder = replicas[0]
+        index.record_cached(keys, holder.order_hash, 1.0)
         index.record_cached(keys, store.order_hash, 1.0)
-        keeper.pending_prefill_tokens = 2000
+        holder.pending_prefill_tokens = 2000
         placement = PromptPlacementRequest(
             request,
             SCOPE,
@@ -61,9 +61,9 @@
         )
         decision = place_prompt(placement, replicas, [store], index)
         assert decision is not None
-        return decision.replica is keeper
+        return decision.replica is holder
 
-    def test_a_copy_over_a_slow_link_is_not_taken_for_one_between_engines(self) -> None:
+    def test_copies_from_a_store_use_the_rate_of_its_own_link(self) -> None:
         self.assertTrue(self.place(store_tokens_per_s=50_000.0))
         self.assertFalse(self.place(store_tokens_per_s=5_000_000.0))
 
@@ -77,17 +77,16 @@
         state.install_table(RoutingTable(1, [], services))
         return state
 
-    def test_the_rate_is_that_of_the_slower_link(self) -> None:
+    def test_the_rate_is_bounded_by_the_slower_link(self) -> None:
         state = self.configured()
         store = state.cache_stores.stores_by_region(prompt("f"), state.settings.regions)[""]
         self.assertEqual(state.copy_tokens_per_s("s"), 3_125_000.0)
         self.assertEqual(state.copy_tokens_per_s("s", store), 156_250.0)
 
-    def test_a_store_whose_zone_is_configured_anew_is_in_that_zone(self) -> None:
-        """A store kept its address and was configured in another zone, in another region.
+    def test_a_store_that_is_reconfigured_to_another_zone_moves_there(self) -> None:
+        """The store keeps its address and moves to another region.
 
-        It was known by its address and kept as it was known first: until the next start it went on
-        as the store of the region that it had left, and the other one had none.
+        Guards against stores that stay in their first region until the daemon restarts.
         """
         settings = RouterSettings(
             "n", "z1", "g", "", "", "", "", regions=RegionMap({"z1": "west", "z2": "east"})
@@ -102,7 +101,7 @@
         self.assertEqual([list(found) for found in homes], [["west"], ["east"]])
         self.assertEqual(homes[1]["east"].listing.zone, "z2")
 
-    def test_a_store_that_stays_keeps_its_identity(self) -> None:
+    def test_a_store_with_the_same_address_keeps_its_identity(self) -> None:
         state = self.configured()
         before = state.cache_stores.stores_by_region(prompt("f"), state.settings.regions)[""]
         store = CacheStore("10.0.0.1:1", "z2", 1000, 25_000.0)
@@ -111,8 +110,8 @@
         after = state.cache_stores.stores_by_region(prompt("f"), state.settings.regions)[""]
         self.assertIs(before, after)
 
-    def test_a_store_that_a_new_configuration_drops_fails_no_request_that_knows_it(self) -> None:
-        """A request keeps its store over its attempts, and places itself anew for each."""
+    def test_a_store_removed_from_the_configuration_fails_no_running_request(self) -> None:
+        """A request uses the same store for all its attempts."""
         state = self.configured()
         store = state.cache_stores.stores_by_region(prompt("f"), state.settings.regions)[""]
         state.install_table(RoutingTable(2, [], [Service("s", engine=ENGINE)]))
--- a/tests/test_relay_placement.py
+++ b/tests/test_relay_placement.py
@@ -1,4 +1,4 @@
-"""Evidence on replicas, and which of them a request is placed on."""
+"""Tests ejection of replicas, placement of prompts and tasks, and the index of cached parts."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 SCOPE = CacheScope.for_tenant("t", False, "m")
 COPY_RATE = 800_000.0
-READ_RATE = 40_000.0
+PREFILL_RATE = 40_000.0
 
 
 def fleet_of(count: int, zones: tuple[str, ...] = ("z1",)) -> list[RelayReplica]:
@@ -48,19 +48,19 @@
 def store_choices(
     store: RelayReplica, tokens_per_s: float = COPY_RATE
 ) -> dict[str, CacheStoreChoice]:
-    """Return the store as the one of the only region."""
+    """Return the stores by region, with ``store`` in the only region."""
     return {"": CacheStoreChoice(store, tokens_per_s)}
 
 
-class EvidenceTest(unittest.TestCase):
-    def test_one_event_that_breaks_many_requests_ejects_once(self) -> None:
-        """Twenty streams cut by one reset left a sound replica alone for eight seconds."""
+class EjectionTest(unittest.TestCase):
+    def test_one_event_that_fails_many_requests_ejects_once(self) -> None:
+        """Guards against a long ejection of a healthy replica after one connection reset."""
         replica = fleet_of(1)[0]
         for _ in range(20):
             replica.record_failure(100.0)
         self.assertEqual(replica.ejected_until_s, 100.0 + EJECTION_S)
 
-    def test_ejections_in_a_row_grow_until_a_success(self) -> None:
+    def test_consecutive_ejections_double_until_a_success(self) -> None:
         replica = fleet_of(1)[0]
         for _ in range(FAILURES_TO_EJECT):
             replica.record_failure(0.0)
@@ -69,11 +69,11 @@
         replica.record_success(0.1, 20.0)
         self.assertFalse(replica.record_failure(21.0))
 
-    def test_a_certain_failure_needs_no_repetition(self) -> None:
+    def test_a_certain_failure_ejects_at_once(self) -> None:
         replica = fleet_of(1)[0]
         self.assertTrue(replica.record_failure(5.0, certain=True))
 
-    def test_a_heartbeat_keeps_evidence_and_never_lowers_a_version(self) -> None:
+    def test_a_repeated_listing_keeps_measurements_and_never_lowers_a_version(self) -> None:
         fleet = RelayFleet()
         listing = ReplicaListing("i", "s", "a:1", "z", 4, True, {"m": 1})
         replica = fleet.install(listing)
@@ -83,9 +83,9 @@
         self.assertEqual((replica.versions["m"], replica.in_flight), (3, 2))
 
 
-class KeptBacklogTest(unittest.TestCase):
-    def test_what_is_too_much_for_one_message_waits_for_the_next(self) -> None:
-        """Parts beyond the most that fit were dropped."""
+class CachedPartsBacklogTest(unittest.TestCase):
+    def test_parts_that_exceed_one_message_are_sent_in_the_next(self) -> None:
+        """Guards against dropping the parts that do not fit."""
         backlog = CachedPartsBacklog()
         backlog.add(7, range(5))
         backlog.add(8, (9, 9))
@@ -101,11 +101,11 @@
             homes = {placed(prompt(family), fleet_of(6), PartIndex()).replica_id for _ in range(3)}
             self.assertEqual(len(homes), 1)
 
-    def test_families_spread_over_the_replicas(self) -> None:
+    def test_families_are_spread_over_the_replicas(self) -> None:
         homes = {placed(prompt(f"f{n}"), fleet_of(6), PartIndex()).replica_id for n in range(60)}
         self.assertEqual(len(homes), 6)
 
-    def test_a_queue_at_home_sends_a_family_on_with_a_copy(self) -> None:
+    def test_a_queue_at_home_moves_a_family_with_a_copy(self) -> None:
         replicas, index = fleet_of(3), PartIndex()
         request = prompt("f")
         home = placed(request, replicas, index)
@@ -120,18 +120,18 @@
         self.assertIs(decision.copy_from, home)
         self.assertEqual(decision.prefill_tokens, 400)
 
-    def test_long_answers_gather_only_as_far_as_there_are_slots(self) -> None:
-        """Grown hyt-kathmandu: on replicas of 16 slots, runs of 0.3 s took 1.2 s in the median."""
+    def test_long_answers_are_concentrated_only_while_slots_are_free(self) -> None:
+        """Guards against slow decoding on replicas whose slots are all taken."""
         replicas, index = fleet_of(12, ("z1", "z2", "z3")), PartIndex()
         hint = Prompt(
             "m", (PromptPart("a", 100), PromptPart("b", 80), PromptPart("c", 600)), 780, 50
         )
         for _ in range(48):
-            chosen = placed(hint, replicas, index, run_s=0.4, mean_run_s=0.5)
+            chosen = placed(hint, replicas, index, expected_run_s=0.4, mean_run_s=0.5)
             chosen.in_flight += 1
         self.assertLessEqual(max(replica.in_flight for replica in replicas), 8)
 
-    def test_replaced_weights_are_used_only_where_newer_ones_are_busy(self) -> None:
+    def test_old_weights_are_used_only_if_replicas_with_newer_ones_are_busy(self) -> None:
         replicas, index = fleet_of(6), PartIndex()
         request = prompt("f")
         for replica in replicas[:2]:
@@ -143,8 +143,8 @@
             replica.pending_prefill_tokens = 20_000
         self.assertEqual(placed(request, replicas, index, old_versions=old).versions["m"], 1)
 
-    def test_daemons_that_have_not_heard_of_each_other_spread_long_answers(self) -> None:
-        """Grown hyt-kathmandu: up to 34 requests ran on a replica of 16 slots, 3.4 in the mean."""
+    def test_jitter_spreads_long_answers_of_daemons_with_stale_load_data(self) -> None:
+        """Guards against many daemons that send to the same replica at the same time."""
         replicas, index = fleet_of(12, ("z1", "z2", "z3")), PartIndex()
         hint = Prompt(
             "m", (PromptPart("a", 100), PromptPart("b", 80), PromptPart("c", 600)), 780, 50
@@ -154,31 +154,34 @@
                 hint,
                 replicas,
                 index,
-                run_s=0.4,
+                expected_run_s=0.4,
                 zone=("z1", "z2", "z3")[number % 3],
-                spread_s=max_jitter_s(hint, 79, READ_RATE),
-                spread_key=member_hash(f"request {number}"),
+                max_jitter_s=max_jitter_s(hint, 79, PREFILL_RATE),
+                jitter_key=member_hash(f"request {number}"),
             ).replica_id
             for number in range(36)
         )
         self.assertLessEqual(max(chosen.values()), 11)
         self.assertGreaterEqual(len(chosen), 6)
-        self.assertEqual(max_jitter_s(hint, 10, READ_RATE), 0.0)
+        self.assertEqual(max_jitter_s(hint, 10, PREFILL_RATE), 0.0)
 
-    def test_daemons_spread_large_prompts_over_replicas_that_have_just_come_back(self) -> None:
-        """Lines of 04d5f11d: 43 thousand tokens queued unheard half a second after a load."""
+    def test_jitter_spreads_large_prompts_over_idle_replicas(self) -> None:
+        """Guards against a queue on one of several replicas that have just finished a load."""
         replicas, index = fleet_of(12, ("z1", "z2", "z3")), PartIndex()
         for replica in replicas[:8]:
             replica.peer_pending_prefill_tokens = 8_000
         chosen: Counter[str] = Counter()
         for number in range(48):
             request = prompt(f"f{number}", own_tokens=2900)
-            key, spread_s = member_hash(f"request {number}"), max_jitter_s(request, 79, READ_RATE)
-            replica = placed(request, replicas, index, spread_key=key, spread_s=spread_s)
+            key, jitter_s = (
+                member_hash(f"request {number}"),
+                max_jitter_s(request, 79, PREFILL_RATE),
+            )
+            replica = placed(request, replicas, index, jitter_key=key, max_jitter_s=jitter_s)
             chosen[replica.replica_id] += 1
         self.assertLessEqual(max(chosen.values()), 14)
 
-    def test_a_prompt_avoids_a_replica_whose_memory_is_taken(self) -> None:
+    def test_a_prompt_avoids_a_replica_without_free_cache_memory(self) -> None:
         replicas, index = fleet_of(6), PartIndex()
         request = prompt("f", own_tokens=2900)
         home = placed(request, replicas, index)
@@ -187,13 +190,10 @@
         self.assertIsNot(chosen, home)
         self.assertIs(placed(request, replicas, index, cache_tokens=110_556, mean_run_s=4.0), home)
 
-    def test_with_a_quarter_of_the_replicas_gone_no_memory_overflows_while_there_is_room(
-        self,
-    ) -> None:
-        """898 of 5,500 large prompts were put back and read anew on such a day.
+    def test_cache_memory_does_not_overflow_on_one_replica_while_others_have_room(self) -> None:
+        """Guards against preemption of large prompts.
 
-        The load of that day on twelve replicas, nine of them left: prompts of 9,200 tokens come
-        faster than they end, until nine tenths of the memory are taken.
+        Prompts of 9,200 tokens fill nine tenths of the memory of nine replicas.
         """
         replicas, index = fleet_of(12, ("z1", "z2", "z3"))[:9], PartIndex()
         cache_tokens = 93_049
@@ -205,7 +205,7 @@
             chosen.peer_in_flight += 1
         self.assertLessEqual(max(item.used_tokens for item in replicas), cache_tokens)
 
-    def test_beliefs_under_other_weights_count_for_nothing(self) -> None:
+    def test_parts_cached_under_other_weights_are_ignored(self) -> None:
         replicas, index = fleet_of(3), PartIndex()
         request = prompt("f")
         keys = [part_key(SCOPE.namespace(1), part) for part in request.shared_parts]
@@ -217,7 +217,7 @@
         assert decision is not None
         self.assertEqual((decision.cached_tokens, decision.copy_from), (0, None))
 
-    def test_new_parts_are_saved_and_kept_ones_are_named_from_the_store(self) -> None:
+    def test_new_parts_are_saved_to_the_store_and_stored_ones_copied_from_it(self) -> None:
         replicas, index = fleet_of(3), PartIndex()
         store = fleet_of(9)[8]
         request = prompt("f")
@@ -234,18 +234,18 @@
         self.assertIsNone(second.save_to)
         self.assertIs(second.copy_from, store)
 
-    def test_long_answers_gather_and_large_prompts_stay_away_from_them(self) -> None:
+    def test_long_answers_are_concentrated_apart_from_large_prompts(self) -> None:
         replicas, index = fleet_of(4), PartIndex()
         long_answer = Prompt("m", (PromptPart("a", 100), PromptPart("b", 100)), 200, 300)
-        chosen = [placed(long_answer, replicas, index, run_s=2.0) for _ in range(3)]
+        chosen = [placed(long_answer, replicas, index, expected_run_s=2.0) for _ in range(3)]
         self.assertEqual(len({replica.replica_id for replica in chosen}), 1)
         chosen[0].in_flight = 8
         for number in range(20):
             large = prompt(f"f{number}", own_tokens=20_000)
-            self.assertIsNot(placed(large, replicas, index, run_s=0.1), chosen[0])
+            self.assertIsNot(placed(large, replicas, index, expected_run_s=0.1), chosen[0])
 
-    def test_prompts_gather_where_no_answer_stands_still_for_too_long(self) -> None:
-        """Shifted hyt-kathmandu: three prompts in a row held running answers up for over 600 ms."""
+    def test_prompts_avoid_replicas_where_they_exceed_the_token_gap(self) -> None:
+        """Guards against consecutive prefills that delay running answers beyond their target."""
         replicas, index = fleet_of(2), PartIndex()
         busy, calm = replicas
         busy.pending_prefill_tokens = calm.pending_prefill_tokens = 12_000
@@ -255,22 +255,26 @@
         self.assertIs(placed(request, replicas, index), busy)
         self.assertIs(placed(request, replicas, index, gap_target_s=0.6), calm)
 
-    def test_of_equal_replicas_the_connected_one_is_used(self) -> None:
-        """64 daemons before 48 replicas opened a connection for nearly every second request."""
+    def test_of_equal_replicas_the_connected_one_is_preferred(self) -> None:
+        """Guards against opening a connection for nearly every request with many replicas."""
         replicas, index = fleet_of(12, ("z1", "z2", "z3")), PartIndex()
         short = Prompt("m", (PromptPart("a", 100), PromptPart("own", 300)), 400, 50)
-        first = placed(short, replicas, index, run_s=0.4)
+        first = placed(short, replicas, index, expected_run_s=0.4)
         other = next(item for item in replicas if item.listing.zone == "z1" and item is not first)
         connected = frozenset({other.order_hash})
-        self.assertIs(placed(short, replicas, index, run_s=0.4, connected=connected), other)
+        self.assertIs(
+            placed(short, replicas, index, expected_run_s=0.4, connected=connected), other
+        )
         other.in_flight = 12
-        self.assertIsNot(placed(short, replicas, index, run_s=0.4, connected=connected), other)
+        self.assertIsNot(
+            placed(short, replicas, index, expected_run_s=0.4, connected=connected), other
+        )
         task = TaskPlacementRequest("z1", 0.0, connected=frozenset({replicas[3].order_hash}))
         chosen = place_task(task, replicas[:4])
         assert chosen is not None
         self.assertIs(chosen.replica, replicas[3])
 
-    def test_a_family_stays_at_home_though_another_replica_is_connected(self) -> None:
+    def test_a_family_stays_at_home_even_if_only_other_replicas_are_connected(self) -> None:
         replicas, index = fleet_of(6), PartIndex()
         request = prompt("f", own_tokens=2900)
         home = placed(request, replicas, index)
@@ -284,7 +288,7 @@
 
 
 class TaskPlacementTest(unittest.TestCase):
-    def test_near_first_and_the_busy_and_the_slow_are_avoided(self) -> None:
+    def test_near_replicas_are_preferred_and_busy_or_slow_ones_avoided(self) -> None:
         replicas = fleet_of(3, ("z1", "z2", "z3"))
         near = place_task(TaskPlacementRequest("z1", 100.0), replicas)
         assert near is not None
@@ -304,7 +308,7 @@
 
 
 class PartIndexTest(unittest.TestCase):
-    def test_the_oldest_parts_are_forgotten_first(self) -> None:
+    def test_the_least_recently_used_parts_are_evicted_first(self) -> None:
         index = PartIndex(capacity=3)
         for key in (1, 2, 3):
             index.record_cached([key], 7, 1.0)
@@ -312,7 +316,7 @@
         index.record_cached([4], 7, 3.0)
         self.assertEqual([index.cached_part_count([key], 7) for key in (1, 2, 3, 4)], [1, 0, 1, 1])
 
-    def test_a_replica_that_has_ended_keeps_nothing(self) -> None:
+    def test_dropping_a_replica_removes_all_its_parts(self) -> None:
         index = PartIndex()
         index.record_cached([1, 2], 7, 1.0)
         index.record_cached([2], 8, 1.0)
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -1,4 +1,4 @@
-"""Short prompts go before long ones at a replica, whatever tenant they come from."""
+"""Tests that short prompts are sent with a higher urgency than long ones."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 
 class UrgencyLevelTest(unittest.TestCase):
-    def test_short_reading_has_the_operators_priority(self) -> None:
+    def test_a_short_prefill_keeps_the_configured_priority(self) -> None:
         self.assertEqual([urgency_level(rank, 0.01, 0.5) for rank in (0, 1, 3)], [0, 1, 3])
 
-    def test_each_doubling_is_one_level(self) -> None:
-        levels = [urgency_level(0, read_s, 0.5) for read_s in (0.03, 0.06, 0.12, 0.24)]
+    def test_each_doubling_lowers_the_urgency_by_one_level(self) -> None:
+        levels = [urgency_level(0, prefill_s, 0.5) for prefill_s in (0.03, 0.06, 0.12, 0.24)]
         self.assertEqual(levels, [1, 2, 3, 4])
 
-    def test_the_longest_are_set_back_so_far_and_no_further(self) -> None:
+    def test_the_penalty_of_long_prompts_is_bounded(self) -> None:
         self.assertEqual(urgency_level(1, 100.0, 0.5), 1 + MAX_PENALTY_LEVELS)
         self.assertEqual(urgency_level(8, 100.0, 0.5), LOWEST_URGENCY)
 
-    def test_a_route_without_an_aim_keeps_the_operators_priority(self) -> None:
+    def test_a_route_without_a_target_latency_keeps_the_configured_priority(self) -> None:
         self.assertEqual(urgency_level(2, 1.0, 0.0), 2)
 
 
 class SentUrgencyTest(RelayTestCase):
-    async def test_of_one_tenant_a_short_prompt_is_sent_as_the_more_urgent(self) -> None:
-        """Tenants' priorities made all their prompts equal: in overload all kinds were late."""
+    async def test_a_short_prompt_of_the_same_tenant_is_more_urgent(self) -> None:
+        """Guards against equal urgency of all prompts of a tenant, which delays all in overload."""
 
         def stream(request: ReceivedRequest) -> bytes:
             return stream_head(request) + chunk(event(1)) + b"0\r\n\r\n"
