--- a/tests/test_request_limit.py
+++ b/tests/test_request_limit.py
@@ -1,4 +1,4 @@
-"""What counts as the limit that a replica names, and when it begins, changes and ends."""
+"""Tests how request limits are parsed from answers and when a limit begins, changes and ends."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 def read(*values: str, name: str = "Server-Limit") -> AnswerNotice:
-    """Return what an answer with these values of a header says."""
+    """Return the notice of an answer with these values of a header."""
     headers = [(name.encode(), value.encode()) for value in values]
     return read_notice(AnswerHead(200, b"OK", headers, 0))
 
 
 class ReadLimitTest(unittest.TestCase):
-    def test_decimal_numbers_are_limits(self) -> None:
+    def test_decimal_numbers_are_accepted(self) -> None:
         for value, per_s in (("3", 3.0), ("0.5", 0.5), (" 3 ", 3.0), ("3.0", 3.0), ("0", 0.0)):
             notice = read(value)
             self.assertEqual((notice.limit_per_s, notice.has_limit), (per_s, True), value)
             self.assertFalse(notice.unreadable)
         self.assertEqual(read("3", name="sERVER-lIMIT").limit_per_s, 3.0)
 
-    def test_of_several_the_least_holds(self) -> None:
+    def test_the_lowest_of_several_limits_applies(self) -> None:
         for values in (("3", "5"), ("5", "3"), ("3, 5",), ("5,3",)):
             self.assertEqual(read(*values).limit_per_s, 3.0, values)
 
-    def test_anything_else_names_a_limit_that_cannot_be_read(self) -> None:
+    def test_other_values_are_reported_as_unreadable(self) -> None:
         for value in ("-1", "+3", "nan", "inf", "1e12", "9" * 400, "three", "", "3 5"):
             with self.subTest(value):
                 notice = read(value)
@@ -40,17 +40,17 @@
                 self.assertIn("Server-Limit holds", notice.unreadable)
         self.assertEqual(read("many, 4").limit_per_s, 4.0)
 
-    def test_no_header_names_none(self) -> None:
+    def test_an_answer_without_the_header_has_no_limit(self) -> None:
         self.assertFalse(read("3", name="X-Limit").has_limit)
 
-    def test_a_word_that_is_not_known_is_told_by_name(self) -> None:
+    def test_unknown_fields_are_reported_by_name(self) -> None:
         self.assertEqual(read("1", name="Server-Mood").unknown_names, ("server-mood",))
         for name in ("Server-Leaving", "Server-Limit", "Server-Timing", "Server", "X-Server-Id"):
             self.assertEqual(read("1", name=name).unknown_names, (), name)
 
 
 class RequestLimitTest(unittest.TestCase):
-    def test_it_begins_changes_and_ends(self) -> None:
+    def test_a_limit_begins_changes_and_ends(self) -> None:
         limit = RequestLimit()
         self.assertIs(limit.update(3.0, received_at_s=10.0), LimitChange.BEGUN)
         self.assertIs(limit.update(3.0, received_at_s=11.0), LimitChange.NOTHING)
@@ -59,15 +59,15 @@
         self.assertIs(limit.clear(received_at_s=14.0), LimitChange.NOTHING)
         self.assertIsNone(limit.per_s)
 
-    def test_an_answer_that_was_asked_for_before_the_word_ends_nothing(self) -> None:
+    def test_only_requests_sent_after_the_last_report_may_end_a_limit(self) -> None:
         limit = RequestLimit()
         limit.update(3.0, received_at_s=10.0)
         self.assertFalse(limit.may_be_ended_by_answer(sent_s=9.9))
         self.assertTrue(limit.may_be_ended_by_answer(sent_s=10.1))
 
 
-class HeardLimitTest(RelayTestCase):
-    async def test_an_answer_that_was_under_way_when_the_limit_ended_begins_none(self) -> None:
+class ReceivedLimitTest(RelayTestCase):
+    async def test_an_outdated_answer_does_not_restart_an_ended_limit(self) -> None:
         relay = await self.relay(ScriptedReplica(answering(lambda r: signed(r, b"ok"))))
         replica = relay.state.fleet.get("i-0")
         assert replica is not None
@@ -81,7 +81,7 @@
         limits.record_limit(replica, 2.0, relay.state.clock() + 0.1)
         self.assertEqual(replica.notice.limit.per_s, 2.0)
 
-    async def test_which_answers_begin_keep_and_end_it(self) -> None:
+    async def test_answers_begin_keep_change_and_end_a_limit(self) -> None:
         answers = {
             "Server-Limit: 2\r\n": 2.0,
             "Server-Limit: many\r\n": 2.0,
@@ -99,8 +99,8 @@
             self.assertEqual((await relay.ask(f"id-{number}")).status, 200)
             self.assertEqual(replica.notice.limit.per_s, per_s, extra)
 
-    async def test_an_answer_without_proof_of_origin_ends_nothing(self) -> None:
-        named = answering(lambda r: signed(r, b"ok", extra="Server-Limit: 2\r\n"))
+    async def test_an_answer_without_proof_of_origin_does_not_end_a_limit(self) -> None:
+        limited = answering(lambda r: signed(r, b"ok", extra="Server-Limit: 2\r\n"))
         refused = answering(
             lambda r: (
                 b"HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\nX-Request-Id: "
@@ -108,7 +108,7 @@
                 + b"\r\n\r\n"
             )
         )
-        relay = await self.relay(ScriptedReplica(named, refused))
+        relay = await self.relay(ScriptedReplica(limited, refused))
         replica = relay.state.fleet.get("i-0")
         assert replica is not None
         await relay.ask("id-0")
@@ -116,18 +116,18 @@
         await relay.ask("id-1")
         self.assertEqual(replica.notice.limit.per_s, 2.0)
 
-    async def test_an_unknown_word_is_counted_by_name(self) -> None:
-        spoken = answering(lambda r: signed(r, b"ok", extra="Server-Mood: bad\r\n"))
-        relay = await self.relay(ScriptedReplica(spoken))
+    async def test_unknown_fields_are_counted_by_name(self) -> None:
+        answer = answering(lambda r: signed(r, b"ok", extra="Server-Mood: bad\r\n"))
+        relay = await self.relay(ScriptedReplica(answer))
         for number in range(3):
             await relay.ask(f"id-{number}")
         self.assertEqual(relay.state.metrics.unknown_headers.labels("server-mood").value, 3)
 
 
-class HeededLimitTest(RelayTestCase):
-    """A router that is alone has the whole limit, one request at a time."""
+class AppliedLimitTest(RelayTestCase):
+    """A single router uses the whole limit, one request at a time."""
 
-    async def test_what_is_sent_to_a_limited_replica(self) -> None:
+    async def test_requests_beyond_the_limit_go_to_another_replica(self) -> None:
         limited = ScriptedReplica(
             answering(lambda r: signed(r, b"ok", extra="Server-Limit: 2\r\n"))
         )
@@ -139,7 +139,7 @@
         self.assertEqual(relay.state.metrics.limit_effects.labels("elsewhere").value, 6)
         self.assertEqual(relay.state.limits.limits_by_replica(), {"i-0": 2.0})
 
-    async def test_an_entry_that_comes_back_takes_no_limit_back(self) -> None:
+    async def test_a_repeated_listing_does_not_revoke_a_limit(self) -> None:
         limited = ScriptedReplica(
             answering(lambda r: signed(r, b"ok", extra="Server-Limit: 1\r\n"))
         )
