--- a/tests/test_weight_rollout.py
+++ b/tests/test_weight_rollout.py
@@ -1,4 +1,4 @@
-"""Rollout decisions: when to begin, which replicas, and what old weights still allow."""
+"""Tests weight rollouts: when to load, on which replicas, and when old versions expire."""
 
 from __future__ import annotations
 
@@ -13,7 +13,6 @@
     next_step,
 )
 
-#: The bound of the first deployments, with loads as long as assumed.
 PACE = LoadPace(8.0)
 
 
@@ -28,7 +27,7 @@
 
 
 class VersionHistoryTest(unittest.TestCase):
-    def test_a_version_is_due_a_bound_after_its_successor_was_named(self) -> None:
+    def test_a_version_expires_a_bound_after_its_successor_was_published(self) -> None:
         history = VersionHistory()
         history.add(2, 100.0)
         history.add(4, 103.0)
@@ -36,14 +35,14 @@
         self.assertEqual(history.expires_at_s(2, 8.0), 111.0)
         self.assertEqual(history.expires_at_s(4, 8.0), math.inf)
 
-    def test_versions_never_go_back(self) -> None:
+    def test_versions_that_are_not_newer_are_rejected(self) -> None:
         history = VersionHistory()
         self.assertTrue(history.add(3, 1.0))
         self.assertFalse(history.add(3, 2.0))
         self.assertFalse(history.add(2, 2.0))
         self.assertEqual(history.newest, 3)
 
-    def test_a_peer_can_only_make_a_version_older(self) -> None:
+    def test_a_peer_report_can_only_move_a_time_earlier(self) -> None:
         history = VersionHistory()
         history.add(2, 100.0)
         history.update_received_at(2, 104.0)
@@ -51,7 +50,7 @@
         history.update_received_at(2, 95.0)
         self.assertEqual(history.expires_at_s(1, 8.0), 103.0)
 
-    def test_a_peers_word_goes_before_a_guess(self) -> None:
+    def test_a_peer_report_replaces_an_assumed_time(self) -> None:
         history = VersionHistory()
         history.add(2, 95.0, assumed=True)
         history.update_received_at(2, 99.0)
@@ -60,7 +59,7 @@
         self.assertEqual(history.expires_at_s(1, 8.0), 107.0)
 
     def test_versions_that_the_store_no_longer_holds_are_learned_from_peers(self) -> None:
-        """hunt-add4-31: a restarted daemon knew version 4 only, and gave version 2 its bound."""
+        """Guards against a late expiry at a restarted daemon that knows the newest version only."""
         history = VersionHistory()
         history.add(4, 95.0, assumed=True)
         history.update_received_at(4, 98.0)
@@ -69,7 +68,7 @@
         self.assertEqual(history.expires_at_s(3, 8.0), 106.0)
         self.assertEqual(history.newest, 4)
 
-    def test_a_bound_that_ran_while_the_store_was_lost_begins_anew(self) -> None:
+    def test_a_bound_that_was_running_when_the_store_was_lost_restarts(self) -> None:
         history = VersionHistory()
         history.add(2, 100.0)
         history.add(3, 106.0)
@@ -77,7 +76,7 @@
         self.assertEqual(history.expires_at_s(1, 8.0), 108.0)
         self.assertEqual(history.expires_at_s(2, 8.0), 123.0)
 
-    def test_a_replica_that_comes_back_with_an_old_version_is_still_due(self) -> None:
+    def test_versions_that_are_no_longer_recorded_are_expired(self) -> None:
         history = VersionHistory()
         for version in range(2, 200):
             history.add(version, 100.0 + version)
@@ -87,13 +86,13 @@
 
 
 class NextStepTest(unittest.TestCase):
-    def test_no_more_load_at_once_than_the_deployments_bear(self) -> None:
-        borne = {1: 1, 2: 1, 4: 1, 6: 2, 9: 3, 45: 17, 600: 228}
-        hurried = LoadPace(8.0, load_s=60.0)
-        self.assertEqual({count: hurried.max_concurrent_loads(count) for count in borne}, borne)
+    def test_the_share_of_loading_replicas_is_bounded(self) -> None:
+        bounds = {1: 1, 2: 1, 4: 1, 6: 2, 9: 3, 45: 17, 600: 228}
+        slow = LoadPace(8.0, load_s=60.0)
+        self.assertEqual({count: slow.max_concurrent_loads(count) for count in bounds}, bounds)
 
-    def test_a_large_fleet_takes_no_more_out_of_service_than_the_bound_needs(self) -> None:
-        """22 of 59 replicas loaded at once, all the time that versions came every four seconds."""
+    def test_no_more_replicas_load_at_once_than_the_time_bound_requires(self) -> None:
+        """Guards against a needless loss of capacity while versions are published frequently."""
         pace = LoadPace(10.0)
         self.assertEqual(pace.max_concurrent_loads(59), 13)
         for _ in range(100):
@@ -104,14 +103,13 @@
         self.assertEqual(pace.max_concurrent_loads(59), 7)
         self.assertEqual(pace.max_concurrent_loads(2), 1)
 
-    def test_a_rollout_begins_as_soon_as_a_version_is_named(self) -> None:
-        """Answers of replaced weights are worth less from 1.5 s on; it used to wait for 1.8 s."""
+    def test_a_rollout_begins_as_soon_as_a_version_is_published(self) -> None:
         views = [replica(f"r{number}", 1) for number in range(6)]
         step = next_step(views, 2, PACE)
         self.assertEqual((len(step.order), len(step.prepare)), (2, 2))
         self.assertEqual(next_step(views, 1, PACE), next_step([], 2, PACE))
 
-    def test_the_oldest_and_least_busy_go_first(self) -> None:
+    def test_the_oldest_and_least_busy_replicas_load_first(self) -> None:
         views = [
             replica("new", 3),
             replica("busy", 2, busy_s=4.0),
@@ -125,20 +123,17 @@
         self.assertEqual(step.order, ("oldest", "idle"))
         self.assertEqual(step.prepare, ("busy", "new"))
 
-    def test_replicas_under_order_take_slots(self) -> None:
+    def test_replicas_under_order_count_as_loading(self) -> None:
         views = [replica(f"r{number}", 1, under_order=number < 2) for number in range(6)]
         self.assertEqual(next_step(views, 2, PACE).order, ())
 
-    def test_a_large_fleet_that_is_overdue_does_not_load_all_at_once(self) -> None:
+    def test_the_number_of_overdue_replicas_that_load_at_once_is_bounded(self) -> None:
         views = [replica(f"r{number:03}", 1, overdue=True) for number in range(600)]
         self.assertEqual(len(next_step(views, 2, PACE).order), 2 * PACE.max_concurrent_loads(600))
         self.assertLess(2 * PACE.max_concurrent_loads(600), 400)
 
-    def test_replicas_that_may_serve_nothing_are_loaded_without_waiting_for_slots(self) -> None:
-        """After a leader was lost two of six replicas at a time were loaded, for 3.5 s each, and
-        the last stood idle on weights whose time was over: 13 s after a version was named two
-        were still without it. What takes no request loses nothing by loading.
-        """
+    def test_overdue_replicas_load_beyond_the_usual_bound(self) -> None:
+        """Guards against overdue replicas that stand idle until others have finished loading."""
         views = [
             replica("loading", 1, under_order=True),
             replica("loading too", 1, under_order=True),
@@ -147,7 +142,7 @@
         ]
         self.assertEqual(next_step(views, 3, PACE).order, ("late0", "late1"))
 
-    def test_a_replica_that_is_leaving_takes_no_slot_and_counts_for_none(self) -> None:
+    def test_replicas_that_are_not_accepting_neither_load_nor_count(self) -> None:
         views = [replica(f"r{number}", 1, accepting=number < 6) for number in range(12)]
         step = next_step(views, 2, PACE)
         self.assertEqual(len(step.order), PACE.max_concurrent_loads(6))
