--- a/winchfork/core/policies/expected_time.py
+++ b/winchfork/core/policies/expected_time.py
@@ -55,7 +55,7 @@
         self, request: PlacementRequest, replicas: Sequence[Replica], matched: Mapping[str, int]
     ) -> PlacementDecision:
         """Return the cheapest replica with the best alternatives."""
-        source = _deepest(matched)
+        source = _longest_cached(matched)
         family = request.prefix.family
         best: list[tuple[float, str, Replica]] = []
         for replica in replicas:
@@ -90,7 +90,7 @@
     )
 
 
-def _deepest(matched: Mapping[str, int]) -> _Source:
+def _longest_cached(matched: Mapping[str, int]) -> _Source:
     replica_id = max(matched, key=lambda name: (matched[name], name), default="")
     return _Source(replica_id, matched.get(replica_id, 0))
 
--- a/winchfork/core/prefill_plan.py
+++ b/winchfork/core/prefill_plan.py
@@ -43,7 +43,10 @@
 
 
 class CachedParts(msgspec.Struct, frozen=True):
-    """Keys of the shared parts under one weights version, and cached leading parts by replica."""
+    """Keys of a prompt's shared parts under one weights version.
+
+    ``depths`` maps replica hashes to the number of leading parts that the replica has cached.
+    """
 
     keys: Sequence[int]
     depths: Mapping[int, int]
@@ -105,9 +108,9 @@
         cached = sum(part.tokens for part in shared[:cached_part_count])
         uncached = max(1, request.prompt.prompt_tokens - cached)
         best = PrefillPlan(cached, 0, uncached, None, 0.0)
-        prefixes = self.cached_parts_for(replica)
+        cached_parts = self.cached_parts_for(replica)
         best_order: tuple[float, float] | None = None
-        for source_hash, parts in prefixes.depths.items():
+        for source_hash, parts in cached_parts.depths.items():
             source = self._sources.get(source_hash)
             if source is None or parts <= cached_part_count:
                 continue
@@ -117,7 +120,7 @@
                 continue
             copy_s = copied / rate
             rest = max(1, request.prompt.prompt_tokens - cached - copied)
-            used_s = self._index.holders(prefixes.keys[parts - 1]).get(source_hash, 0.0)
+            used_s = self._index.holders(cached_parts.keys[parts - 1]).get(source_hash, 0.0)
             order = (copy_s + rest / request.prefill_tokens_per_s, -used_s)
             if best_order is None or order < best_order:
                 best, best_order = PrefillPlan(cached, copied, rest, source, copy_s), order
--- a/winchfork/core/relay_fleet.py
+++ b/winchfork/core/relay_fleet.py
@@ -96,12 +96,12 @@
         """Remove a replica and return it; None when it was not listed."""
         removed = self._replicas.pop(replica_id, None)
         if removed is not None:
-            self._remember(removed)
+            self._retain(removed)
         self._index()
         self._update_state(IncarnationChangeCause.REMOVED)
         return removed
 
-    def _remember(self, removed: RelayReplica) -> None:
+    def _retain(self, removed: RelayReplica) -> None:
         self._removed[removed.order_hash] = _RemovedReplica(
             removed.replica_id, removed.recency, removed.notice
         )
--- a/winchfork/core/replica_notice.py
+++ b/winchfork/core/replica_notice.py
@@ -32,10 +32,10 @@
 class AnswerNotice(msgspec.Struct, frozen=True):
     """The notice in one answer of a replica.
 
-    ``backoff_s`` is the requested backoff in seconds, None without one. ``unreadable`` holds the
-    fields that could not be parsed; empty if all could. ``limit_per_s`` is the limit in requests
-    per second over all daemons; None with ``has_limit`` means a limit that could not be parsed.
-    ``unknown_names`` are names of fields that this version does not support.
+    ``backoff_s`` is the requested backoff in seconds, None without one. ``unreadable`` describes
+    the headers that could not be parsed; empty if all could. ``limit_per_s`` is the limit in
+    requests per second over all daemons; None with ``has_limit`` means a limit that could not be
+    parsed. ``unknown_names`` are the names of headers that this version does not support.
     """
 
     draining: bool = False
@@ -183,9 +183,9 @@
             self._trial_sent_s = now_s
 
     def record_answer(self, sent_s: float, *, refused: bool) -> None:
-        """Record the answer to a request sent at ``sent_s``; one sent after the pause ends a trial.
+        """Record the answer to a request sent at ``sent_s``.
 
-        If it was ``refused``, another trial follows.
+        If it was sent after the pause, it completes the trial; a refusal requires another trial.
         """
         if not self._needs_trial or sent_s < self.backoff_until_s:
             return
--- a/winchfork/core/request_limit.py
+++ b/winchfork/core/request_limit.py
@@ -19,7 +19,8 @@
 
 #: Share of a limit that the holders use together.
 MAX_UTILIZATION = 0.95
-#: Window in seconds in which the holders send at most the limit plus one request.
+#: Length in seconds of the window in which the holders together send at most one request more than
+#: the limit allows.
 WINDOW_S = 4.0
 #: Seconds by which a request may be sent before it is due.
 MAX_EARLY_S = 0.2
@@ -52,10 +53,10 @@
 
 
 def max_holders(per_s: float, daemons: int) -> int:
-    """Return the largest number of daemons that may share a limit without exceeding it.
+    """Return how many daemons may share a limit of ``per_s`` requests per second.
 
-    A limit is exceeded when its holders could send more than the limit plus one request in
-    ``WINDOW_S``.
+    It is the largest number for which the holders together send at most one request more than the
+    limit allows in any ``WINDOW_S``.
     """
     allowed = WINDOW_S * max(per_s, MIN_REQUESTS_PER_S) + 1.0
     for holders in range(max(1, min(daemons, int(per_s))), 1, -1):
--- a/winchfork/core/software_plan.py
+++ b/winchfork/core/software_plan.py
@@ -3,7 +3,7 @@
 The requests that an unapproved version may get form a budget for the whole rollout. The trial
 spends a part of it slowly on a few replicas, which get the per-replica load that all will have
 later. The move to full traffic is late and fast, which limits the exposure to a version that turns
-bad only then. Times are in seconds.
+bad after the trial. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 UNDECIDED_BUDGET_SHARE = 0.12
 #: Upper bound on the share of requests that a trial gets.
 MAX_TRIAL_SHARE = 0.3
-#: Smallest number of trial replicas, if as many exist; allows to tell a faulty replica from a bad
-#: version.
+#: Smallest number of trial replicas, if as many exist, so that a single faulty replica can be
+#: distinguished from a bad version.
 MIN_TRIAL_REPLICAS = 3
 #: Traffic shares of the stages between the trial and full traffic.
 MOVING_SHARES = (0.25, 0.5)
@@ -106,7 +106,7 @@
 ) -> RolloutStep | None:
     """Return the next record of a running rollout; None if none is due."""
     if state.returning:
-        return _return(state, view, limits)
+        return _keep_version_in_force(state, view, limits)
     if view.stop_cause is StopCause.BAD:
         return RolloutStep(state.rolled_back(judged_bad=True), "the version was found bad")
     overspent = has_exhausted_budget(
@@ -149,7 +149,9 @@
     return "the time limit has passed"
 
 
-def _return(state: SoftwareState, view: RolloutView, limits: ExposureLimits) -> RolloutStep | None:
+def _keep_version_in_force(
+    state: SoftwareState, view: RolloutView, limits: ExposureLimits
+) -> RolloutStep | None:
     """Send all requests to the version in force and finish once the others are idle."""
     if state.phase is not SoftwarePhase.MOVED:
         moved = state.advanced(SoftwarePhase.MOVED, 0.0, view.elapsed_s)
--- a/winchfork/core/software_state.py
+++ b/winchfork/core/software_state.py
@@ -120,7 +120,7 @@
         )
 
     def rolled_back(self, *, judged_bad: bool) -> SoftwareState:
-        """Return the record of a rollout that was rolled back, with a bad target added to it."""
+        """Return the record of a rolled back rollout; ``judged_bad`` records the target as bad."""
         bad = (*self.judged_bad, self.target) if judged_bad else self.judged_bad
         return msgspec.structs.replace(
             self,
