--- a/winchfork/core/admission.py
+++ b/winchfork/core/admission.py
@@ -1,11 +1,11 @@
-"""Admission: who runs now, who waits, who is refused.
+"""Admission control: decides which requests run, wait or are refused.
 
-Order among waiting requests: the traffic class of best priority first, where waiting improves a
-class's priority by one step each ``AGING_S`` so that no class starves; inside a class the tenant
-that has received the least service for its weight; inside a tenant first come, first served.
+Waiting requests are ordered by priority, which improves by one step for each ``AGING_S`` of waiting
+so that no traffic class starves; then by the service that the tenant has received relative to its
+weight, least first; within a tenant they are served first come, first served.
 
-Classes that may wait (overnight work) can hold at most ``BATCH_SHARE`` of the open slots, so an
-urgent request never finds every slot taken by a batch.
+Requests that may wait (batch work) occupy at most ``MAX_BATCH_SHARE`` of the slots, so that slots
+remain for urgent requests.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class AdmissionOutcome(enum.Enum):
-    """What became of an offered ticket."""
+    """Whether an offered ticket was admitted or queued."""
 
     ADMITTED = "admitted"
     QUEUED = "queued"
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class AdmissionLimits:
-    """Slots for running requests and places for waiting ones."""
+    """Maximum numbers of running and of waiting requests."""
 
     max_open: int
     max_waiting: int
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Ticket:
-    """One request asking to run. ``priority`` 0 is the most urgent; times in seconds."""
+    """One request that asks for a slot. ``priority`` 0 is the most urgent; times in seconds."""
 
     request_id: str
     tenant: str
@@ -63,32 +63,32 @@
 
     @property
     def open_count(self) -> int:
-        """Requests running now."""
+        """Number of running requests."""
         return len(self._open)
 
     @property
     def waiting_count(self) -> int:
-        """Requests waiting now."""
+        """Number of waiting requests."""
         return self._waiting_count
 
     def offer(self, ticket: Ticket, now_s: float) -> AdmissionOutcome | Failure:
         """Admit, queue or refuse a ticket; a refusal is immediate and final."""
-        # Whatever waits has no slot either: a release admits all that can be, and neither a
-        # withdrawal nor the passing of time makes a slot. So a free slot is this ticket's.
+        # A free slot can go to this ticket at once: only a release frees a slot, and it already
+        # admits every waiting ticket that fits.
         if self._has_slot(ticket):
             self._admit(ticket)
             return AdmissionOutcome.ADMITTED
         if self._waiting_count >= self._limits.max_waiting:
             return FailureKind.OVERLOADED.because(
-                f"{self._waiting_count} requests are waiting already",
-                remedy="come back after the given time",
+                f"the admission queue is full: {self._waiting_count} requests are waiting",
+                remedy="retry after the given time",
                 retry_after_s=self.expected_wait_s(),
             )
         expected_s = self.expected_wait_s()
         if not ticket.may_wait and now_s + expected_s > ticket.deadline_at_s:
             return FailureKind.DEADLINE_EXCEEDED.because(
                 f"the expected wait of {expected_s:.1f} s would miss the deadline",
-                remedy="come back after the given time or allow a later deadline",
+                remedy="retry after the given time or allow a later deadline",
                 ran=RunState.NOT_RUN,
                 retry_after_s=expected_s,
             )
@@ -101,7 +101,7 @@
         return self._mean_service_s * (self._waiting_count + 1) / self._limits.max_open
 
     def release(self, request_id: str, now_s: float, service_s: float) -> list[Ticket]:
-        """End a running request and return the tickets admitted in its place."""
+        """End a running request and return the tickets that were admitted to the freed slots."""
         ticket = self._open.pop(request_id, None)
         if ticket is None:
             return []
@@ -111,7 +111,7 @@
         return self._admit_waiting(now_s)
 
     def withdraw(self, request_id: str) -> bool:
-        """Remove a waiting ticket whose caller left; False when it is not waiting."""
+        """Remove a waiting ticket whose caller has disconnected; False when it is not waiting."""
         for tenants in self._waiting.values():
             for queue in tenants.values():
                 for ticket in queue:
@@ -137,8 +137,8 @@
     def _queue_of(self, ticket: Ticket) -> deque[Ticket]:
         """Return the ticket's queue.
 
-        Work that may wait is apart from work that may not, also inside a class, so that a blocked
-        head never holds up a ticket that has a slot.
+        Within a class, tickets that may wait are queued separately from the others, so that a
+        blocked batch ticket at the head does not delay a ticket that could run.
         """
         tenants = self._waiting.setdefault((ticket.traffic_class, ticket.may_wait), {})
         return tenants.setdefault(ticket.tenant, deque())
@@ -178,7 +178,7 @@
                     continue
                 head = queue[0]
                 aged = head.priority - (now_s - head.offered_at_s) / AGING_S
-                # Fairness between tenants applies among heads of about the same urgency.
+                # Tenant fairness applies among heads whose aged priority rounds to the same step.
                 order = (float(round(aged)), self._service.get(tenant, 0.0), head.offered_at_s)
                 if best is None or order < best[:3]:
                     best = (*order, head)
--- a/winchfork/core/broken_runs.py
+++ b/winchfork/core/broken_runs.py
@@ -1,8 +1,8 @@
-"""Runs whose connection broke, until it is settled whether their replica ended.
+"""Runs whose connection broke, kept until it is known whether their replica crashed.
 
-A broken connection alone says little: a reset, a lost answer, a refused connection too many and a
-cut look alike. That the replica ended is told later: its port is closed, its entry lapses, or
-another incarnation is in its place. Times are seconds of one clock, given in.
+A broken connection alone does not show a crash: a reset, a lost answer, a refused connection and a
+network partition look the same. A crash is confirmed later by :class:`CrashEvidence`. Times are
+seconds of one clock, passed in by the caller.
 """
 
 from __future__ import annotations
@@ -11,27 +11,26 @@
 
 import msgspec
 
-#: Evidence that comes later than this after a break is of another event: an entry lapses after
-#: three heartbeats (3.6 s by default), and replicas are back after some seconds.
+#: Evidence is attributed to a broken run for this long after the break.
 EVIDENCE_WINDOW_S = 6.0
 
 
 class CrashEvidence(enum.Enum):
-    """What has shown that an incarnation has ended."""
+    """The observation that shows that an incarnation has crashed."""
 
-    #: Its machine refuses connections to its port.
+    #: The machine refuses connections to the replica's port.
     PORT_CLOSED = "port_closed"
-    #: Its entry has lapsed, though it had not said that it would leave.
+    #: The replica's entry expired without an announced departure.
     ENTRY_LAPSED = "entry_lapsed"
-    #: Another incarnation is in its place.
+    #: Another incarnation runs in its place.
     REPLACED = "replaced"
 
 
 class _BrokenRun(msgspec.Struct):
     at_s: float
-    #: Nothing was acknowledged any more: the way to the replica may be cut.
+    #: No data was acknowledged before the break, as in a network partition.
     silent: bool
-    #: The replica was reached after the break, so it is doubtful that it ended.
+    #: The replica accepted a connection after the break, so a crash is unlikely.
     reached_since: bool = False
 
 
@@ -47,34 +46,36 @@
         self._runs.setdefault(incarnation, {})[digest] = _BrokenRun(at_s, silent)
 
     def mark_reached(self, incarnation: int, asked_s: float) -> None:
-        """Record that a new connection to the replica came up that was asked for at ``asked_s``."""
+        """Record that a connection to the replica succeeded that was requested at ``asked_s``."""
         for run in self._runs.get(incarnation, {}).values():
             run.reached_since = run.reached_since or run.at_s <= asked_s
 
     def clear(self, digest: bytes) -> None:
-        """Record that a run of a request has ended well since: its breaks say nothing of it."""
+        """Discard the broken runs of a request that has since succeeded."""
         for runs in self._runs.values():
             runs.pop(digest, None)
 
     def pop_crashed(
         self, incarnation: int, evidence: CrashEvidence, now_s: float
     ) -> tuple[bytes, ...]:
-        """Take out the requests that an incarnation was running when it ended.
+        """Remove and return the requests that an incarnation was running when it crashed.
 
-        A lapsed entry of a replica that fell silent shows no more than a cut.
+        An expired entry does not confirm a crash for silent runs: a partition has the same effect.
         """
         self._forget(now_s)
         runs = self._runs.get(incarnation, {})
-        cut = evidence is CrashEvidence.ENTRY_LAPSED
-        settled = tuple(digest for digest, run in runs.items() if not (cut and run.silent))
-        for digest in settled:
+        may_be_partition = evidence is CrashEvidence.ENTRY_LAPSED
+        crashed = tuple(
+            digest for digest, run in runs.items() if not (may_be_partition and run.silent)
+        )
+        for digest in crashed:
             del runs[digest]
         if not runs:
             self._runs.pop(incarnation, None)
-        return settled
+        return crashed
 
     def count_unconfirmed(self, digest: bytes, now_s: float) -> int:
-        """Return how many incarnations may have ended under a request, as far as is not told."""
+        """Return how many incarnations may have crashed under a request without confirmation."""
         self._forget(now_s)
         count = 0
         for runs in self._runs.values():
--- a/winchfork/core/cache_index.py
+++ b/winchfork/core/cache_index.py
@@ -1,12 +1,11 @@
-"""Beliefs about which replica holds which block.
+"""Index of the cache blocks that each replica is assumed to hold.
 
-A belief is held under (replica, incarnation): when a replica's incarnation changes, every belief
-about it goes with it, whatever its event stream lost. Events carry sequence numbers; a gap marks
-the replica as suspect until a snapshot replaces its beliefs.
+Entries belong to one incarnation of a replica and are dropped when its incarnation changes. Events
+carry sequence numbers; a gap marks the replica as suspect until a snapshot replaces its entries.
 
 Layout: one dict from block key to a replica number, or to a tuple of numbers when several replicas
-hold it, and one set of keys a replica. Most blocks have one holder, so the common entry is a small
-integer.
+hold the block, and one set of keys per replica. Most blocks have one holder, so most entries are
+small integers.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 
 
 class EventKind(enum.Enum):
-    """What a cache event says of its blocks."""
+    """Whether the blocks of a cache event were stored or removed."""
 
     STORED = "stored"
     REMOVED = "removed"
@@ -29,9 +28,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class CacheEvent:
-    """One event of a replica's stream. ``sequence`` counts from 1 without holes.
+    """One event of a replica's stream. ``sequence`` counts from 1 without gaps.
 
-    Stored blocks are a run of one chain; ``parent_key`` is the block before the first, 0 for none.
+    Stored blocks are consecutive blocks of one chain; ``parent_key`` is the key of the block before
+    the first one, or 0 at the start of a chain.
     """
 
     sequence: int
@@ -50,7 +50,7 @@
 
 
 class CacheIndex:
-    """Which replicas are believed to hold each block. Not thread-safe."""
+    """Maps each block to the replicas that are assumed to hold it. Not thread-safe."""
 
     def __init__(self) -> None:
         self._holders: dict[BlockKey, _Holders] = {}
@@ -61,76 +61,79 @@
         return len(self._holders)
 
     def fence(self, replica_id: str, incarnation: int) -> bool:
-        """Bind beliefs to ``incarnation``; False if it is older than the one already known."""
-        beliefs = self._replicas.get(replica_id)
-        if beliefs is None:
+        """Switch the replica's entries to ``incarnation``; False if a newer one is known.
+
+        A newer incarnation than the known one starts without entries.
+        """
+        blocks = self._replicas.get(replica_id)
+        if blocks is None:
             self._replicas[replica_id] = _ReplicaBlocks(len(self._names), incarnation)
             self._names.append(replica_id)
             return True
-        if incarnation < beliefs.incarnation:
+        if incarnation < blocks.incarnation:
             return False
-        if incarnation > beliefs.incarnation:
-            self._clear(beliefs)
-            beliefs.incarnation = incarnation
-            beliefs.next_sequence = 1
-            beliefs.suspect = False
+        if incarnation > blocks.incarnation:
+            self._clear(blocks)
+            blocks.incarnation = incarnation
+            blocks.next_sequence = 1
+            blocks.suspect = False
         return True
 
     def apply(self, replica_id: str, incarnation: int, event: CacheEvent) -> bool:
-        """Fold one event in; False when it was stale, doubled, or revealed a gap."""
+        """Apply one event; False when it was stale, a duplicate, or revealed a gap."""
         if not self.fence(replica_id, incarnation):
             return False
-        beliefs = self._replicas[replica_id]
-        if event.sequence < beliefs.next_sequence:
+        blocks = self._replicas[replica_id]
+        if event.sequence < blocks.next_sequence:
             return False
-        gap = event.sequence > beliefs.next_sequence
-        beliefs.suspect = beliefs.suspect or gap
-        beliefs.next_sequence = event.sequence + 1
+        gap = event.sequence > blocks.next_sequence
+        blocks.suspect = blocks.suspect or gap
+        blocks.next_sequence = event.sequence + 1
         if event.kind is EventKind.STORED:
-            self._add(beliefs, event.block_keys)
+            self._add(blocks, event.block_keys)
         else:
-            self._discard(beliefs, event.block_keys)
+            self._discard(blocks, event.block_keys)
         return not gap
 
     def assume_stored(self, replica_id: str, incarnation: int, keys: Iterable[BlockKey]) -> None:
-        """Believe that ``keys`` are held, from a dispatch or its report rather than an event."""
+        """Record ``keys`` as held, on the evidence of a dispatch or its response, not an event."""
         if self.fence(replica_id, incarnation):
             self._add(self._replicas[replica_id], keys)
 
     def drop_uncached(
         self, replica_id: str, incarnation: int, keys: Sequence[BlockKey], cached_blocks: int
     ) -> None:
-        """Drop beliefs that a reply disproved: only ``cached_blocks`` leading keys were held."""
+        """Drop the keys that a response disproved: only the first ``cached_blocks`` are held."""
         if self.fence(replica_id, incarnation):
             self._discard(self._replicas[replica_id], keys[cached_blocks:])
 
     def replace(
         self, replica_id: str, incarnation: int, keys: Iterable[BlockKey], next_sequence: int
     ) -> None:
-        """Install a snapshot of everything a replica holds; ends a suspicion."""
+        """Install a snapshot of all blocks that a replica holds; it is no longer suspect."""
         if not self.fence(replica_id, incarnation):
             return
-        beliefs = self._replicas[replica_id]
-        self._clear(beliefs)
-        self._add(beliefs, keys)
-        beliefs.next_sequence = next_sequence
-        beliefs.suspect = False
+        blocks = self._replicas[replica_id]
+        self._clear(blocks)
+        self._add(blocks, keys)
+        blocks.next_sequence = next_sequence
+        blocks.suspect = False
 
     def forget(self, replica_id: str) -> None:
-        """Drop every belief about a replica but keep its incarnation as the fence."""
-        beliefs = self._replicas.get(replica_id)
-        if beliefs is not None:
-            self._clear(beliefs)
+        """Drop every entry of a replica but keep its incarnation as the fence."""
+        blocks = self._replicas.get(replica_id)
+        if blocks is not None:
+            self._clear(blocks)
 
     def is_suspect(self, replica_id: str) -> bool:
-        """Tell whether the replica's event stream lost entries since its last snapshot."""
-        beliefs = self._replicas.get(replica_id)
-        return beliefs is not None and beliefs.suspect
+        """Whether the replica's event stream has lost events since its last snapshot."""
+        blocks = self._replicas.get(replica_id)
+        return blocks is not None and blocks.suspect
 
     def holds(self, replica_id: str, key: BlockKey) -> bool:
-        """Tell whether ``replica_id`` is believed to hold ``key``."""
-        beliefs = self._replicas.get(replica_id)
-        return beliefs is not None and key in beliefs.keys
+        """Whether ``replica_id`` is assumed to hold ``key``."""
+        blocks = self._replicas.get(replica_id)
+        return blocks is not None and key in blocks.keys
 
     def match(self, block_keys: Sequence[BlockKey]) -> dict[str, int]:
         """Return, for each replica that holds the first block, how many leading blocks it holds."""
@@ -152,12 +155,12 @@
             matched[self._names[number]] = depth + 1
         return matched
 
-    def _add(self, beliefs: _ReplicaBlocks, keys: Iterable[BlockKey]) -> None:
-        number = beliefs.number
+    def _add(self, blocks: _ReplicaBlocks, keys: Iterable[BlockKey]) -> None:
+        number = blocks.number
         for key in keys:
-            if key in beliefs.keys:
+            if key in blocks.keys:
                 continue
-            beliefs.keys.add(key)
+            blocks.keys.add(key)
             holders = self._holders.get(key)
             if holders is None:
                 self._holders[key] = number
@@ -166,11 +169,11 @@
             else:
                 self._holders[key] = (*holders, number)
 
-    def _discard(self, beliefs: _ReplicaBlocks, keys: Iterable[BlockKey]) -> None:
+    def _discard(self, blocks: _ReplicaBlocks, keys: Iterable[BlockKey]) -> None:
         for key in keys:
-            if key in beliefs.keys:
-                beliefs.keys.discard(key)
-                self._drop_holder(key, beliefs.number)
+            if key in blocks.keys:
+                blocks.keys.discard(key)
+                self._drop_holder(key, blocks.number)
 
     def _drop_holder(self, key: BlockKey, number: int) -> None:
         holders = self._holders[key]
@@ -180,10 +183,10 @@
         remaining = tuple(holder for holder in holders if holder != number)
         self._holders[key] = remaining[0] if len(remaining) == 1 else remaining
 
-    def _clear(self, beliefs: _ReplicaBlocks) -> None:
-        for key in beliefs.keys:
-            self._drop_holder(key, beliefs.number)
-        beliefs.keys = set()
+    def _clear(self, blocks: _ReplicaBlocks) -> None:
+        for key in blocks.keys:
+            self._drop_holder(key, blocks.number)
+        blocks.keys = set()
 
 
 def _as_set(holders: _Holders | None) -> frozenset[int]:
--- a/winchfork/core/configuration.py
+++ b/winchfork/core/configuration.py
@@ -1,4 +1,7 @@
-"""Operators' configuration: its objects, their validation, and the rule that it never reverts."""
+"""The operators' configuration: its objects, their validation, and installation by revision.
+
+An older or equal revision never replaces the installed one.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 
 
 class Tenant(_Object):
-    """A customer. ``api_key_sha256`` holds hashes only; ``weight`` is its fair share."""
+    """A customer. ``weight`` is its relative share in fair queueing."""
 
     name: Name
     api_key_sha256: tuple[_HexSha256, ...] = ()
@@ -30,7 +33,7 @@
 
 
 class TrafficClass(_Object):
-    """How one kind of request is treated. Priority 0 is the most urgent; times in seconds."""
+    """Scheduling of one kind of request. Priority 0 is the most urgent; times in seconds."""
 
     name: Name
     priority: Annotated[int, pydantic.Field(ge=0, le=9)] = 5
@@ -45,16 +48,16 @@
 
 
 class PoolKind(enum.Enum):
-    """What the back ends of a pool speak."""
+    """Whether the back ends of a pool are inference engines or application servers."""
 
     ENGINE = "engine"
     APPLICATION = "application"
 
 
 class Pool(_Object):
-    """A set of back ends; the machine list says which machines belong to it.
+    """A set of back ends; the machine list assigns machines to pools.
 
-    ``repeatable`` false makes every request of an application pool run at most once.
+    With ``repeatable`` false, every request of an application pool runs at most once.
     """
 
     name: Name
@@ -73,7 +76,7 @@
 class Rule(_Object):
     """Overrides for matching requests; the first rule that matches a request applies.
 
-    An empty condition matches everything. None leaves a setting as the class or pool has it.
+    A condition of None matches everything. An override of None keeps the class's or pool's setting.
     """
 
     name: Name
@@ -85,7 +88,7 @@
     repeatable: bool | None = None
 
     def matches(self, tenant: str, pool: str, path: str) -> bool:
-        """Tell whether the rule is for a request of this tenant, pool and path."""
+        """Whether the rule matches a request of this tenant, pool and path."""
         return (
             self.tenant in (None, tenant)
             and self.pool in (None, pool)
@@ -94,9 +97,10 @@
 
 
 class Configuration(_Object):
-    """Everything operators set, as one versioned document.
+    """All settings that operators make, as one versioned document.
 
-    ``draining`` names the back ends that get no new work until an operator takes them off it.
+    ``draining`` names the back ends that receive no new work until an operator removes them from
+    the list.
     """
 
     tenants: tuple[Tenant, ...] = ()
@@ -120,10 +124,14 @@
         classes = {item.name for item in self.traffic_classes}
         for pool in self.pools:
             if pool.traffic_class is not None and pool.traffic_class not in classes:
-                raise ValueError(f"pool {pool.name!r} names no known traffic class")
+                raise ValueError(
+                    f"pool {pool.name!r} names unknown traffic class {pool.traffic_class!r}"
+                )
         for rule in self.rules:
             if rule.traffic_class is not None and rule.traffic_class not in classes:
-                raise ValueError(f"rule {rule.name!r} names no known traffic class")
+                raise ValueError(
+                    f"rule {rule.name!r} names unknown traffic class {rule.traffic_class!r}"
+                )
         hashes = [digest for tenant in self.tenants for digest in tenant.api_key_sha256]
         if len(hashes) != len(set(hashes)):
             raise ValueError("two tenants share an API key hash")
@@ -141,7 +149,7 @@
 
 
 def parse_configuration(text: str | bytes) -> Configuration | Failure:
-    """Read a configuration from JSON text; the failure names the field."""
+    """Parse a configuration from JSON text; the failure names the invalid field."""
     try:
         return Configuration.model_validate_json(text)
     except pydantic.ValidationError as error:
@@ -151,13 +159,13 @@
 
 
 def hash_api_key(api_key: str) -> str:
-    """Return the only form in which an API key is stored."""
+    """Return the SHA-256 hash of an API key; keys are stored in no other form."""
     return hashlib.sha256(api_key.encode()).hexdigest()
 
 
 @dataclasses.dataclass(frozen=True)
 class InstalledConfiguration:
-    """A configuration with its store revision and the look-ups derived from it."""
+    """A configuration with its store revision and the lookup tables derived from it."""
 
     revision: int
     configuration: Configuration
@@ -168,7 +176,7 @@
 
     @classmethod
     def of(cls, revision: int, configuration: Configuration) -> InstalledConfiguration:
-        """Derive the look-ups of ``configuration``."""
+        """Build the lookup tables of ``configuration``."""
         return cls(
             revision,
             configuration,
@@ -188,7 +196,7 @@
         return next((rule for rule in rules if rule.matches(tenant, pool, path)), None)
 
     def traffic_class(self, name: str | None) -> TrafficClass | Failure:
-        """Return the class called ``name``; None asks for the default."""
+        """Return the class called ``name``, or the default class for None."""
         if name is None:
             return self.traffic_classes.get(DEFAULT_CLASS.name, DEFAULT_CLASS)
         found = self.traffic_classes.get(name)
@@ -201,13 +209,13 @@
 
 
 class ConfigurationHolder:
-    """Holds the configuration in force; a lower or equal revision is never installed."""
+    """Holds the active configuration; an older or equal revision is never installed."""
 
     def __init__(self) -> None:
         self.current = InstalledConfiguration.of(0, Configuration())
 
     def install(self, revision: int, configuration: Configuration) -> bool:
-        """Put a newer configuration in force; False when it is not newer."""
+        """Activate a newer configuration; False when it is not newer."""
         if revision <= self.current.revision:
             return False
         self.current = InstalledConfiguration.of(revision, configuration)
--- a/winchfork/core/crash_history.py
+++ b/winchfork/core/crash_history.py
@@ -1,17 +1,15 @@
-"""Which requests replicas have ended under, and which are refused for it.
+"""Requests under which replicas have crashed, and those that are refused because of it.
 
-A request is named by its digest (:mod:`winchfork.core.request_digest`), a replica's incarnation by
-its 64-bit hash. A replica that ends takes every run on it along, so an end under a request is a
-suspicion and no proof. Three different incarnations have to end in a row; a run that ends well in
-between clears it.
+A request is identified by its digest (:mod:`winchfork.core.request_digest`), an incarnation of a
+replica by its 64-bit hash. A crash fails every run on the replica, so one crash only makes a
+request suspect. It is refused after ``CRASHES_TO_REFUSE`` different incarnations have crashed under
+it without a successful run in between.
 
-A refused request is tried once more after some minutes: where replicas ended for another reason,
-such as weights that end them under any request, many are refused that did nothing. If that run ends
-well, the request is cleared; if its replica ends, it is refused for long.
+A refusal expires, since replicas may have crashed for another cause, such as faulty weights. The
+request then runs again: success clears it, and another crash refuses it for longer.
 
-Both tables are bounded: what was touched longest ago is forgotten first.
-
-Times are seconds of one clock, given in.
+The tables are bounded; the least recently updated entry is evicted first. Times are seconds of one
+clock, passed in by the caller.
 """
 
 from __future__ import annotations
@@ -21,55 +19,53 @@
 
 import msgspec
 
-#: Incarnations that may end under a request before it is refused.
+#: Incarnations that crash under a request before it is refused.
 CRASHES_TO_REFUSE = 3
-#: A suspicion that nothing has confirmed or cleared for this long is forgotten.
+#: A suspicion expires this long after its last crash.
 SUSPICION_TTL_S = 3600.0
-#: For how long a request is refused the first time, and each time after that.
+#: Duration of a request's first refusal and of each later one.
 FIRST_REFUSAL_S = 600.0
 REPEATED_REFUSAL_S = 24 * 3600.0
-#: A replica takes some 50 runs along when it ends: the suspicions of 300 such ends, 4 MB.
+#: Bounds the table of suspect requests.
 MAX_SUSPECTS = 16_384
-#: A request that many send may be on every replica of a small service when they end one after the
-#: other, with no time for a run that ends well in between. One that ended well so shortly before is
-#: no request that ends its replica each time.
+#: A request that succeeded within this time is not blamed when several replicas crash in quick
+#: succession while it runs on each of them.
 RECENT_SUCCESS_S = 3.0
-#: Requests that ended well lately and are remembered: some seconds of a busy daemon.
+#: Bounds the table of recently successful requests.
 MAX_RECENT_SUCCESSES = 1_024
-#: Refused requests, each of which has ended three replicas.
+#: Bounds the table of refused requests.
 MAX_REFUSED = 4_096
 
 _Entry = TypeVar("_Entry")
 
 
 class _Suspicion(msgspec.Struct):
-    """The incarnations that have ended under a request, and when the last of them was noted."""
+    """The incarnations that have crashed under a request, and the time of the last crash."""
 
     incarnations: tuple[int, ...]
     updated_at_s: float
 
 
 class _Refusal(msgspec.Struct):
-    """How often a request has been refused, and until when it is."""
+    """Number of refusals of a request and the end of the latest one."""
 
     times: int
     until_s: float
 
 
 class CrashHistory:
-    """Suspicions and refusals by digest. Not thread-safe."""
+    """Crashes, successes and refusals by request digest. Not thread-safe."""
 
     def __init__(self, max_suspects: int = MAX_SUSPECTS, max_refused: int = MAX_REFUSED) -> None:
         self._max_suspects = max_suspects
         self._max_refused = max_refused
         self._suspicions: OrderedDict[bytes, _Suspicion] = OrderedDict()
-        #: When each of the last requests that ended well did so.
         self._succeeded_at_s: OrderedDict[bytes, float] = OrderedDict()
-        #: Requests that are refused, or have been and were not cleared since.
+        #: Includes expired refusals that were not cleared.
         self._refusals: OrderedDict[bytes, _Refusal] = OrderedDict()
 
     def record_crash(self, digest: bytes, incarnation: int, now_s: float) -> bool:
-        """Record that an incarnation ended under a request; False if that was known."""
+        """Record that an incarnation crashed under a request; False if that was known."""
         known = self._live_suspicion(digest, now_s)
         if known is not None and incarnation in known.incarnations:
             return False
@@ -79,37 +75,37 @@
         return True
 
     def crash_count(self, digest: bytes, now_s: float) -> int:
-        """Return how many incarnations have ended under a request since it last ended well."""
+        """Return how many incarnations have crashed under a request since its last success."""
         if digest in self._refusals:
             return CRASHES_TO_REFUSE
         known = self._live_suspicion(digest, now_s)
         return len(known.incarnations) if known is not None else 0
 
     def has_crash(self, digest: bytes, incarnation: int, now_s: float) -> bool:
-        """Whether this very end still counts against a request."""
+        """Whether the crash of this incarnation still counts against a request."""
         known = self._live_suspicion(digest, now_s)
         return known is not None and incarnation in known.incarnations
 
     def record_success(self, digest: bytes, now_s: float) -> None:
-        """Record that a run of a request has ended well."""
+        """Record that a run of a request has succeeded."""
         _put_last(self._succeeded_at_s, digest, now_s, MAX_RECENT_SUCCESSES)
 
     def succeeded_recently(self, digest: bytes, now_s: float) -> bool:
-        """Whether a run of a request ended well here a short time ago."""
-        ended_s = self._succeeded_at_s.get(digest)
-        return ended_s is not None and now_s - ended_s <= RECENT_SUCCESS_S
+        """Whether a run of a request succeeded here within ``RECENT_SUCCESS_S``."""
+        succeeded_at_s = self._succeeded_at_s.get(digest)
+        return succeeded_at_s is not None and now_s - succeeded_at_s <= RECENT_SUCCESS_S
 
     def clear(self, digest: bytes) -> bool:
-        """Forget what a request was suspected of, and refuse it no longer; False if nothing was.
+        """Remove a request's suspicion and refusal; False if it had neither.
 
-        For a run of it that ended well, or an operator who releases it.
+        Called after a successful run, or when an operator releases the request.
         """
         suspected = self._suspicions.pop(digest, None) is not None
         refused = self._refusals.pop(digest, None) is not None
         return suspected or refused
 
     def refuse(self, digest: bytes, times: int, until_s: float) -> None:
-        """Refuse a request, for the ``times``-th time, until then."""
+        """Refuse a request until ``until_s``; ``times`` counts its refusals, this one included."""
         _put_last(self._refusals, digest, _Refusal(times, until_s), self._max_refused)
 
     def is_refused(self, digest: bytes, now_s: float) -> bool:
@@ -118,23 +114,23 @@
         return refusal is not None and now_s < refusal.until_s
 
     def times_refused(self, digest: bytes) -> int:
-        """Return how often a request has been refused since it last ended well."""
+        """Return how often a request has been refused since its last success."""
         refusal = self._refusals.get(digest)
         return refusal.times if refusal is not None else 0
 
     @staticmethod
     def refusal_s(times: int) -> float:
-        """Return for how long a request is refused the ``times``-th time."""
+        """Return the duration of a request's ``times``-th refusal."""
         return FIRST_REFUSAL_S if times <= 1 else REPEATED_REFUSAL_S
 
     @property
     def suspected_count(self) -> int:
-        """Requests under suspicion."""
+        """Number of suspect requests."""
         return len(self._suspicions)
 
     @property
     def refused_count(self) -> int:
-        """Requests that are refused, or have been and were not cleared since."""
+        """Number of refused requests, expired refusals that were not cleared included."""
         return len(self._refusals)
 
     def _live_suspicion(self, digest: bytes, now_s: float) -> _Suspicion | None:
@@ -148,7 +144,7 @@
 def _put_last(
     table: OrderedDict[bytes, _Entry], digest: bytes, entry: _Entry, max_entries: int
 ) -> None:
-    """Enter what was touched just now; of more than ``most``, the longest untouched goes."""
+    """Insert an entry as the most recent one; evict the oldest beyond ``max_entries``."""
     table[digest] = entry
     table.move_to_end(digest)
     if len(table) > max_entries:
--- a/winchfork/core/decisions.py
+++ b/winchfork/core/decisions.py
@@ -1,7 +1,6 @@
-"""The decision log: what was decided for each request, why, and what was observed after.
+"""The decision log: each request's routing decisions with their reasons and outcomes.
 
-A finished request's steps are kept as compressed JSON, since most are never asked for and each
-takes kilobytes as objects.
+The steps of older requests are stored as compressed JSON to save memory.
 """
 
 from __future__ import annotations
@@ -14,13 +13,16 @@
 
 from winchfork.constants import DECISION_LOG_ENTRIES
 
-#: Requests whose steps are still kept as objects; the oldest is compressed when there are more.
+#: Requests whose steps are held as objects; beyond this the oldest is compressed.
 MAX_UNCOMPRESSED_REQUESTS = 512
 
 
 @dataclasses.dataclass(frozen=True)
 class DecisionEvent:
-    """One step of a request's life. ``at_s`` is wall time; ``details`` holds plain values."""
+    """One step in the handling of a request.
+
+    ``at_s`` is wall time in seconds; ``details`` holds JSON-compatible values.
+    """
 
     at_s: float
     step: str
@@ -33,7 +35,7 @@
 
 
 class DecisionLog:
-    """The newest requests with their decisions, bounded. Not thread-safe."""
+    """The decisions of the newest requests, bounded. Not thread-safe."""
 
     def __init__(self, max_requests: int = DECISION_LOG_ENTRIES) -> None:
         self._max_requests = max_requests
@@ -47,13 +49,13 @@
             self._pack(*self._open.popitem(last=False))
 
     def explain(self, request_id: str) -> list[dict[str, Any]]:
-        """Return the steps of a request in order; empty when it is not (or no longer) known."""
+        """Return the steps of a request in order; empty when it is unknown or was evicted."""
         return self._unpack(request_id) + [
             event.to_document() for event in self._open.get(request_id, ())
         ]
 
     def _pack(self, request_id: str, events: list[DecisionEvent]) -> None:
-        # A slow request may have been packed before; its later steps join the earlier ones.
+        # A slow request may have been packed before: append to its earlier steps.
         steps = self._unpack(request_id) + [event.to_document() for event in events]
         self._packed[request_id] = zlib.compress(json.dumps(steps).encode(), 1)
         while len(self._packed) > self._max_requests:
--- a/winchfork/core/document_table.py
+++ b/winchfork/core/document_table.py
@@ -1,8 +1,8 @@
-"""The store's entries as one daemon holds them, so that it can pass them on to its peers.
+"""One daemon's copy of the store's entries, from which it updates its peers.
 
-Each entry is kept as it was written, with its revision; an entry that has gone is remembered for a
-while by its key alone. Within an era of the store a revision never goes down for a key, whoever it
-was heard from. A new era begins with a complete list, beside which no earlier revision counts.
+Each entry is held as written, with its revision; a removed entry is remembered as a tombstone for a
+while. Within an era of the store, a key's revision never decreases, whichever peer reported it. A
+new era begins with a complete list, which supersedes all revisions of earlier eras.
 """
 
 from __future__ import annotations
@@ -15,16 +15,17 @@
 from winchfork.core.peer_message import PeerMessage
 from winchfork.core.store_position import StorePosition
 
-#: Entries that have gone and are remembered; a peer that is further behind gets everything.
+#: Tombstones that are remembered; a peer that lags further behind receives a complete update.
 MAX_REMOVED = 2_000
-#: Below every revision that the store gives out.
+#: Lower than every revision of the store.
 NO_REVISION = -1
 
 
 class TableItem(PeerMessage, frozen=True):
-    """One entry; ``value`` is None where it has gone.
+    """One entry; ``value`` is None for a removed one.
 
-    ``vanished`` entries were missing after an outage of the store, whose silence is no evidence.
+    ``missing_after_outage`` marks an entry that the store lacked after an outage. It need not have
+    been removed: it may only not have been written again yet.
     """
 
     key: str
@@ -34,11 +35,11 @@
 
 
 class TableUpdate(msgspec.Struct, frozen=True):
-    """What has changed after ``base`` up to ``at``; the items' revisions are of the era of ``at``.
+    """The changes after ``base`` up to ``at``; the items' revisions are of the era of ``at``.
 
-    A ``complete`` update holds every entry: what it does not hold is not there. ``after_outage`` of
-    the store, it may only not have been written again yet. One that is not complete stays within
-    an era.
+    A ``complete`` update holds every entry, so a missing entry has been removed. With
+    ``after_outage`` set, a missing entry may only not have been written again yet. An incomplete
+    update stays within one era.
     """
 
     base: StorePosition
@@ -54,14 +55,14 @@
     def __init__(self) -> None:
         self._items: dict[str, TableItem] = {}
         self._removed: OrderedDict[str, TableItem] = OrderedDict()
-        #: Entries that went at or before this revision may have been forgotten.
+        #: Tombstones up to this revision may have been evicted.
         self._removals_known_after = 0
         self._listed_after_outage = False
 
     def begin_era(self) -> None:
-        """Let every entry of a complete list that comes next be newer than what is held.
+        """Reset the revisions so that every entry of the complete list that follows is newer.
 
-        What is held is kept by its key, so that what the list lacks is known.
+        The entries stay, so that :meth:`missing_from` can tell which ones the list lacks.
         """
         self._items = {
             key: msgspec.structs.replace(item, revision=NO_REVISION)
@@ -71,7 +72,7 @@
         self._removals_known_after = 0
 
     def apply(self, item: TableItem) -> bool:
-        """Take an entry in; False when a newer one is held."""
+        """Apply an entry; False when the same revision or a newer one is held."""
         known = self._items.get(item.key) or self._removed.get(item.key)
         if known is not None and known.revision >= item.revision:
             return False
@@ -87,20 +88,20 @@
         return True
 
     def mark_listed(self, at_revision: int, *, after_outage: bool) -> None:
-        """Everything before this revision was learned from a list: what had gone is not known."""
+        """Record that a list replaced the entries: removals up to this revision are unknown."""
         self._listed_after_outage = after_outage
         self._removals_known_after = max(self._removals_known_after, at_revision)
 
     def missing_from(self, listed: Iterable[str]) -> list[str]:
-        """Return the keys held here that a complete list does not hold."""
+        """Return the keys that are held here but absent from a complete list."""
         return sorted(self._items.keys() - set(listed))
 
     def update_after(self, known: StorePosition, at: StorePosition) -> TableUpdate:
-        """Return what a peer that knows everything up to ``known`` lacks up to ``at``."""
+        """Return the changes up to ``at`` for a peer that is up to date at ``known``."""
         complete = known.era != at.era or known.revision < self._removals_known_after
         after = NO_REVISION if complete else known.revision
-        gone = () if complete else self._removed.values()
-        items = [item for item in (*self._items.values(), *gone) if item.revision > after]
+        removed = () if complete else self._removed.values()
+        items = [item for item in (*self._items.values(), *removed) if item.revision > after]
         items.sort(key=lambda item: item.revision)
         after_outage = complete and self._listed_after_outage
         return TableUpdate(known, at, complete, after_outage, tuple(items))
--- a/winchfork/core/documents.py
+++ b/winchfork/core/documents.py
@@ -1,7 +1,7 @@
 """Documents that every daemon of a region holds: configuration, machine list, voter panels.
 
-A few relay daemons in each zone read them from the platform; the rest pull them from peers when a
-probe or a notice shows a higher revision. A revision never goes down, whoever it was heard from.
+A few relay daemons in each zone read them from the platform; the other daemons pull them from peers
+when a peer message carries a higher revision. A document's revision never decreases.
 """
 
 from __future__ import annotations
@@ -9,9 +9,9 @@
 import dataclasses
 import enum
 
-#: Bytes of a document sent in one datagram.
+#: Maximum bytes of a document in one datagram.
 PART_BYTES = 16_384
-#: Relays in each zone that read the platform on behalf of the others.
+#: Daemons in each zone that read the platform on behalf of the others.
 RELAYS_PER_ZONE = 2
 
 
@@ -47,14 +47,14 @@
         return tuple(self._documents[name].revision for name in DocumentName)
 
     def install(self, name: DocumentName, document: Document) -> bool:
-        """Take a newer document; False when it is not newer."""
+        """Install a newer document; False when it is not newer."""
         if document.revision <= self._documents[name].revision:
             return False
         self._documents[name] = document
         return True
 
     def outdated(self, revisions: tuple[int, ...]) -> list[tuple[DocumentName, int]]:
-        """Return the documents that a peer with ``revisions`` has newer, with its revisions."""
+        """Return the documents of which the peer has a newer revision, with that revision."""
         return [
             (name, theirs)
             for name, theirs in zip(DocumentName, revisions, strict=False)
@@ -62,17 +62,17 @@
         ]
 
     def part(self, name: DocumentName, offset: int) -> tuple[Document, bytes]:
-        """Return a document and the part of its text from ``offset``."""
+        """Return a document and up to ``PART_BYTES`` of its text from ``offset``."""
         document = self._documents[name]
         return document, document.text[offset : offset + PART_BYTES]
 
     def add_part(
         self, name: DocumentName, revision: int, offset: int, total: int, data: bytes
     ) -> Document | int | None:
-        """Collect parts in order.
+        """Add the next part of a document.
 
-        Returns the complete document, the next offset to ask for, or None when the part is of no
-        use (old revision, or out of order).
+        Returns the complete document, the next offset to request, or None when the part is ignored
+        (not a newer revision, or out of order).
         """
         if revision <= self._documents[name].revision:
             return None
