--- a/winchfork/core/cached_parts_backlog.py
+++ b/winchfork/core/cached_parts_backlog.py
@@ -1,4 +1,4 @@
-"""Parts that replicas have been found to keep and that are still to be told to others."""
+"""Backlog of cached prompt parts that are still to be reported to peers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CachedPartsBacklog:
-    """Part keys by the hash of the replica that keeps them, each once, oldest first."""
+    """Part keys by the hash of the replica that caches them, each once, oldest first."""
 
     def __init__(self) -> None:
         self._keys: dict[int, dict[int, None]] = {}
@@ -16,7 +16,7 @@
         self._keys.setdefault(replica_hash, {}).update(dict.fromkeys(keys))
 
     def discard(self, replica_hash: int, keys: Iterable[int]) -> None:
-        """Drop parts that somebody else has told."""
+        """Drop parts that another daemon has reported."""
         pending = self._keys.get(replica_hash, {})
         for key in keys:
             pending.pop(key, None)
@@ -24,14 +24,14 @@
             self._keys.pop(replica_hash, None)
 
     def pop(self, max_parts: int) -> list[tuple[int, tuple[int, ...]]]:
-        """Take up to ``most`` parts out, by replica; the rest waits for the next time."""
-        taken: list[tuple[int, tuple[int, ...]]] = []
+        """Remove and return up to ``max_parts`` parts, grouped by replica."""
+        popped: list[tuple[int, tuple[int, ...]]] = []
         for replica_hash in list(self._keys):
             if max_parts <= 0:
                 break
             keys = list(self._keys.pop(replica_hash))
-            taken.append((replica_hash, tuple(keys[:max_parts])))
+            popped.append((replica_hash, tuple(keys[:max_parts])))
             if keys[max_parts:]:
                 self.add(replica_hash, keys[max_parts:])
             max_parts -= len(keys)
-        return taken
+        return popped
--- a/winchfork/core/families.py
+++ b/winchfork/core/families.py
@@ -1,7 +1,7 @@
-"""Prefix families: which daemon holds beliefs about a block, and which part of a chain it is asked.
+"""Prefix families: the assignment of cache blocks to the daemons that index them.
 
-A family is named by the key at ``FAMILY_DEPTH_BLOCKS`` of a chain. Blocks above that depth belong
-to many families and are named by their own key.
+A family is identified by the key at depth ``FAMILY_DEPTH_BLOCKS`` of a chain. Blocks above that
+depth are shared by many families and are identified by their own key.
 """
 
 from __future__ import annotations
@@ -14,10 +14,11 @@
 
 
 def keys_from_family(prefix: PromptPrefix) -> tuple[int, Sequence[BlockKey]]:
-    """Return how many leading blocks stand above the family's key, and the keys from it on.
+    """Return the number of blocks above the family's key, and the keys from it on.
 
-    A key chains over everything before it, so a replica that holds the family's block holds, or has
-    held, the blocks above it too; the owner need not know of them. (0, ()) for a short prompt.
+    A key is a hash over the whole chain before it, so a replica that holds the family's block
+    holds, or has held, the blocks above it; the owner need not index those. (0, ()) for a short
+    prompt.
     """
     above = max(0, min(FAMILY_DEPTH_BLOCKS, len(prefix.block_keys)) - 1)
     return above, prefix.block_keys[above:]
@@ -29,14 +30,14 @@
 
 
 class FamilyMap:
-    """The families of one replica's blocks, as its reader learns them from the events."""
+    """The families of one replica's blocks, derived from its cache events."""
 
     def __init__(self) -> None:
-        #: 0 for a block above the family depth.
+        #: Family key by block key; 0 for a block above the family depth.
         self._family_of: dict[BlockKey, BlockKey] = {}
 
     def record_stored(self, parent: BlockKey, keys: Iterable[BlockKey]) -> None:
-        """Derive the families of a run of blocks from its parent's; parent 0 starts a chain."""
+        """Derive the families of consecutive blocks from their parent's; 0 starts a chain."""
         for key in keys:
             if parent == 0:
                 self._family_of[key] = 0
@@ -45,7 +46,7 @@
             parent = key
 
     def owner_key(self, key: BlockKey) -> BlockKey:
-        """Return the key whose owner holds beliefs about this block."""
+        """Return the key whose owner indexes this block."""
         return self._family_of.get(key, 0) or key
 
     def forget(self, key: BlockKey) -> None:
@@ -53,15 +54,15 @@
         self._family_of.pop(key, None)
 
     def apply_events(self, events: Iterable[CacheEvent]) -> dict[BlockKey, bool]:
-        """Return what holds at the end of ``events``: each block, and whether it is stored.
+        """Apply ``events`` and return their net effect: each block, and whether it is now stored.
 
-        A block that came and went between two reads is told of once, as gone.
+        A block that was stored and removed again appears once, as removed.
         """
-        folded: dict[BlockKey, bool] = {}
+        is_stored: dict[BlockKey, bool] = {}
         for event in events:
             stored = event.kind is EventKind.STORED
             if stored:
                 self.record_stored(event.parent_key, event.block_keys)
             for key in event.block_keys:
-                folded[key] = stored
-        return folded
+                is_stored[key] = stored
+        return is_stored
--- a/winchfork/core/fleet.py
+++ b/winchfork/core/fleet.py
@@ -1,4 +1,4 @@
-"""What a placement knows about replicas: identity, fences, reported load and own dispatches."""
+"""The replicas that placement chooses from: identity, state, reported load and own dispatches."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from winchfork.core.rendezvous import member_hash
 
-#: Priorities below this are urgent: engines start them before everything else that waits.
+#: Priorities below this are urgent: engines start such work before all other waiting work.
 URGENT_BELOW_PRIORITY = 5
 
 
 def is_urgent(priority: int) -> bool:
-    """Tell whether work of this priority overtakes work that may wait."""
+    """Whether work of this priority is started before work that may wait."""
     return priority < URGENT_BELOW_PRIORITY
 
 
@@ -28,9 +28,9 @@
 class ReplicaLoad:
     """A replica's own load report. Tokens are prompt tokens not yet prefilled; rates per second.
 
-    ``urgent_prefill_tokens`` is the part of ``waiting_prefill_tokens`` that urgent work waits for.
-    ``import_tokens_per_s`` is how fast kept blocks are copied from another replica; 0 stands for an
-    engine that cannot.
+    ``urgent_prefill_tokens`` is the part of ``waiting_prefill_tokens`` that is queued ahead of new
+    urgent work. ``import_tokens_per_s`` is the rate at which cached blocks are copied from another
+    replica; 0 for an engine that cannot import them.
     """
 
     waiting_prefill_tokens: int = 0
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReplicaIdentity:
-    """The fence a dispatch carries: a crash changes the incarnation, a rollout the weights."""
+    """The identity that a dispatch is fenced by: a restart or a rollout changes it."""
 
     incarnation: int
     weights_version: int
@@ -59,14 +59,14 @@
 
 @dataclasses.dataclass
 class Replica:
-    """One back end as this daemon sees it; an engine replica or an application.
+    """One back end as this daemon sees it: an engine replica or an application.
 
-    ``state`` is what the replica's reader, the machine list and operators say; ``avoided_until_s``
-    is this daemon's own short memory of a failed dispatch.
+    ``state`` follows the replica's load reports, the machine list and the operators;
+    ``avoided_until_s`` ends the avoidance of the replica after a failed dispatch of this daemon.
 
-    ``_dispatches`` holds this daemon's own work that no load report can contain yet; it keeps a
-    burst between two reports from landing on one replica. An entry ends with the first token or
-    with a load measured after it, whichever comes first.
+    ``_dispatches`` holds this daemon's dispatches that no load report includes yet, so that a burst
+    between two reports is not placed on one replica. An entry is removed at its first token or by a
+    load that was measured after it, whichever comes first.
     """
 
     replica_id: str
@@ -88,7 +88,7 @@
 
     @property
     def dispatched_requests(self) -> int:
-        """Requests sent that no load report contains yet."""
+        """Number of requests that were sent and that no load report includes yet."""
         return len(self._dispatches)
 
     def expected_wait_s(self, *, urgent: bool = False) -> float:
@@ -107,14 +107,14 @@
     def record_dispatch(
         self, attempt_id: str, uncached_tokens: int, now_s: float, *, urgent: bool = False
     ) -> None:
-        """Count work sent now."""
+        """Count a request that is sent now."""
         self._dispatches[attempt_id] = _OwnDispatch(now_s, uncached_tokens, urgent)
         self.dispatched_tokens += uncached_tokens
         if urgent:
             self.dispatched_urgent_tokens += uncached_tokens
 
     def remove_dispatch(self, attempt_id: str) -> None:
-        """Stop counting a dispatch whose prefill is done or which failed."""
+        """Stop counting a dispatch that has failed or whose prefill is done."""
         own = self._dispatches.pop(attempt_id, None)
         if own is None:
             return
@@ -123,7 +123,7 @@
             self.dispatched_urgent_tokens -= own.tokens
 
     def update_load(self, load: ReplicaLoad, measured_at_s: float) -> None:
-        """Install a load report, which includes what was dispatched before it was measured."""
+        """Install a load report and drop the dispatches that it includes."""
         self.load = load
         self.load_measured_at_s = measured_at_s
         for attempt_id, own in list(self._dispatches.items()):
@@ -132,7 +132,7 @@
 
 
 class Fleet:
-    """The replicas of one region by pool. Not thread-safe; the daemon holds its state lock."""
+    """The replicas of one region. Not thread-safe; the daemon holds its state lock."""
 
     def __init__(self) -> None:
         self._replicas: dict[str, Replica] = {}
@@ -154,7 +154,10 @@
         self._replicas.pop(replica_id, None)
 
     def possibly_available(self, pool: str, excluded: frozenset[str]) -> list[Replica]:
-        """Return the replicas of ``pool`` held for unavailable, which may be so no more."""
+        """Return the replicas of ``pool`` that are not leaving, unavailable ones included.
+
+        A replica marked as unavailable may have become available again.
+        """
         found = [
             replica
             for replica in self._replicas.values()
--- a/winchfork/core/freshness.py
+++ b/winchfork/core/freshness.py
@@ -1,8 +1,8 @@
-"""How old a daemon's knowledge of the operators' documents is.
+"""Staleness of a daemon's copy of the operators' documents.
 
-A proof says that the documents were current at a moment of this daemon's monotonic clock. Nothing
-is inferred from silence, and the time of day is never read: a freeze ages every proof, a clock step
-none.
+A proof states that the documents were current at a time of this daemon's monotonic clock. The age
+of the newest proof grows while the process is suspended, and steps of the wall clock do not
+affect it.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Freshness:
-    """The newest moment at which the documents were proven current."""
+    """The latest time at which the documents were proven current. Times are in seconds."""
 
     def __init__(self) -> None:
         self._proven_at_s = -math.inf
@@ -25,7 +25,7 @@
 
     @property
     def proven_at_s(self) -> float:
-        """The newest moment that is proven; minus infinity when there is none."""
+        """Time of the newest proof; minus infinity when there is none."""
         return self._proven_at_s
 
     def age_s(self, now_s: float) -> float:
--- a/winchfork/core/load_gossip.py
+++ b/winchfork/core/load_gossip.py
@@ -1,9 +1,8 @@
-"""Replica loads spread as small packed entries on the membership probes.
+"""Gossip of replica loads as small packed entries on membership probes.
 
-Sending every load report to every daemon would cost each daemon messages in proportion to the
-fleet. Instead a reader publishes a load when its quantized level changes, and each daemon passes
-recent changes on with the probes that it sends anyway: cost per daemon is bounded by
-``MAX_ENTRIES`` a message, and a change reaches a region of n daemons in about log2(n) periods.
+A daemon publishes a load that it has read when its quantized level changes, and each daemon
+forwards recent changes with the probes that it sends anyway. The cost per daemon is bounded by
+``MAX_ENTRIES`` per message, and a change reaches a region of n daemons in about log2(n) periods.
 """
 
 from __future__ import annotations
@@ -16,23 +15,25 @@
 
 from winchfork.core.fleet import ReplicaLoad
 
+#: Entries in one message.
 MAX_ENTRIES = 40
+#: Messages that each change is sent with.
 SPREAD_ROUNDS = 8
-#: Each level is this factor of waiting work more than the one below it.
+#: Ratio of waiting work between two adjacent levels.
 LEVEL_RATIO = 1.25
 #: Waiting prefill tokens at level 1.
 LEVEL_UNIT_TOKENS = 256
-#: A level is published again after this long even if unchanged, so that a lost one heals.
+#: An unchanged level is published again after this long, in case a message was lost.
 REFRESH_S = 5.0
 _ENTRY = struct.Struct(">IIBBB")
 MAX_RUNNING = 255
-#: The level of a replica that takes no work now.
+#: The level of a replica that does not accept work.
 UNAVAILABLE_LEVEL = 255
 
 
 @dataclasses.dataclass(frozen=True)
 class LoadEntry:
-    """One replica's quantized load. ``version`` is the reader's clock in tenths of a second."""
+    """One replica's quantized load. ``version`` is the publisher's clock in tenths of a second."""
 
     replica_hash: int
     version: int
@@ -42,11 +43,11 @@
 
     @property
     def available(self) -> bool:
-        """Whether the replica takes work."""
+        """Whether the replica accepts work."""
         return self.level != UNAVAILABLE_LEVEL
 
     def update(self, known: ReplicaLoad) -> ReplicaLoad:
-        """Return the load that the levels stand for, with the speeds already known."""
+        """Return ``known`` with its queue and running counts replaced by those of the levels."""
         return dataclasses.replace(
             known,
             waiting_requests=0,
@@ -57,7 +58,7 @@
 
 
 def hash_replica(replica_id: str) -> int:
-    """Return the 32-bit name of a replica in packed entries."""
+    """Return the 32-bit hash that identifies a replica in packed entries."""
     return xxhash.xxh32_intdigest(replica_id.encode())
 
 
@@ -72,14 +73,14 @@
 
 
 def tokens_of_level(level: int) -> int:
-    """Return the middle of a level in tokens."""
+    """Return the midpoint of a level in waiting tokens."""
     if level == 0:
         return 0
     return int(LEVEL_UNIT_TOKENS * (LEVEL_RATIO ** (level - 0.5) - 1))
 
 
 def quantize(replica_hash: int, load: ReplicaLoad | None, now_s: float) -> LoadEntry:
-    """Return the entry of a load measured now; None is a replica that takes no work."""
+    """Return the entry of a load measured now; None is a replica that does not accept work."""
     version = int(now_s * 10) & 0xFFFFFFFF
     if load is None:
         return LoadEntry(replica_hash, version, UNAVAILABLE_LEVEL, UNAVAILABLE_LEVEL, 0)
@@ -93,19 +94,19 @@
 
 
 class LoadGossip:
-    """The newest quantized load of each replica, and what is still worth passing on."""
+    """The newest quantized load of each replica, and the changes that are still to be sent."""
 
     def __init__(self) -> None:
         self._entries: dict[int, LoadEntry] = {}
-        self._spread_left: dict[int, int] = {}
+        self._remaining_sends: dict[int, int] = {}
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def publish(self, replica_id: str, load: ReplicaLoad | None, now_s: float) -> LoadEntry | None:
-        """Offer a load that this daemon read itself; None when not worth a message.
+        """Publish a load that this daemon read itself; None when it has not changed enough.
 
-        ``load`` None says that the replica takes no work now.
+        ``load`` is None for a replica that does not accept work.
         """
         entry = quantize(hash_replica(replica_id), load, now_s)
         known = self._entries.get(entry.replica_hash)
@@ -120,13 +121,13 @@
         return entry if self._install(entry) else None
 
     def pack(self) -> bytes:
-        """Return the freshest entries for one message."""
-        chosen = sorted(self._spread_left, key=lambda key: (-self._spread_left[key], key))
+        """Return the entries for one message, those sent the fewest times first."""
+        chosen = sorted(self._remaining_sends, key=lambda key: (-self._remaining_sends[key], key))
         parts: list[bytes] = []
         for replica_hash in chosen[:MAX_ENTRIES]:
-            self._spread_left[replica_hash] -= 1
-            if self._spread_left[replica_hash] <= 0:
-                del self._spread_left[replica_hash]
+            self._remaining_sends[replica_hash] -= 1
+            if self._remaining_sends[replica_hash] <= 0:
+                del self._remaining_sends[replica_hash]
             entry = self._entries[replica_hash]
             parts.append(
                 _ENTRY.pack(
@@ -136,19 +137,19 @@
         return b"".join(parts)
 
     def unpack(self, packed: bytes) -> list[LoadEntry]:
-        """Take in a message's entries and return those that were news."""
-        news: list[LoadEntry] = []
+        """Apply a message's entries and return those that were new."""
+        updates: list[LoadEntry] = []
         usable = len(packed) - len(packed) % _ENTRY.size
         for fields in _ENTRY.iter_unpack(packed[:usable]):
             entry = LoadEntry(*fields)
             if self._install(entry):
-                news.append(entry)
-        return news
+                updates.append(entry)
+        return updates
 
     def _install(self, entry: LoadEntry) -> bool:
         known = self._entries.get(entry.replica_hash)
         if known is not None and known.version >= entry.version:
             return False
         self._entries[entry.replica_hash] = entry
-        self._spread_left[entry.replica_hash] = SPREAD_ROUNDS
+        self._remaining_sends[entry.replica_hash] = SPREAD_ROUNDS
         return True
--- a/winchfork/core/member.py
+++ b/winchfork/core/member.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of who is a member: records, probes and replies."""
+"""Membership records and the messages that carry them: probes and replies."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Member(PeerMessage, frozen=True):
-    """One daemon: where it listens for peers and callers, its status, and what its link carries."""
+    """One daemon: its addresses for peers and callers, its status and the speed of its links."""
 
     member_id: str
     zone: str
@@ -27,18 +27,21 @@
     http_address: str
     incarnation: int
     status: MemberStatus = MemberStatus.ALIVE
-    #: Megabits a second; 0 where it is not known.
+    #: Megabits per second; 0 where unknown.
     link_mbps: int = 0
-    #: Milliseconds for a connection to the platform's store to come up; 0 until one has.
+    #: Milliseconds to connect to the platform's store; 0 until a connection has succeeded.
     store_delay_ms: int = 0
 
     def supersedes(self, other: Member) -> bool:
-        """Tell whether this record is newer than ``other``."""
+        """Whether this record is newer than ``other``."""
         return (self.incarnation, self.status) > (other.incarnation, other.status)
 
 
 class Probe(PeerMessage, frozen=True):
-    """Are you there? ``on_behalf_of`` is set when a third member asked for the probe."""
+    """Asks a member to reply. ``on_behalf_of`` names the member that requested an indirect probe.
+
+    ``revisions`` are the sender's document revisions, ``loads`` packed load entries.
+    """
 
     sender: Member
     nonce: int
@@ -46,12 +49,12 @@
     changes: tuple[Member, ...] = ()
     on_behalf_of: str = ""
     loads: bytes = b""
-    #: Members that the sender knows and does not hold for dead, itself not counted.
+    #: Members that the sender knows and does not consider dead, itself not counted.
     known_members: int = 0
 
 
 class ProbeReply(PeerMessage, frozen=True):
-    """I am."""
+    """Answers the probe with the same nonce."""
 
     sender: Member
     nonce: int
@@ -61,7 +64,7 @@
 
 
 class IndirectProbe(PeerMessage, frozen=True):
-    """Please probe ``target_id`` for me."""
+    """Asks the receiver to probe ``target_id`` on behalf of the sender."""
 
     sender: Member
     nonce: int
--- a/winchfork/core/membership.py
+++ b/winchfork/core/membership.py
@@ -1,11 +1,12 @@
-"""Membership of one region by random probes with piggybacked changes (the SWIM pattern).
+"""Membership of one region by random probes with piggybacked changes (the SWIM protocol).
 
-One probe a period keeps a daemon's cost the same at any fleet size. A failed probe is repeated
-through other members before the target is suspected, so one bad path does not remove a member. A
-suspected member that lives refutes by raising its incarnation. A restart starts from a higher
-incarnation (its start time in milliseconds), which distinguishes it from a recovery.
+A daemon sends one probe per period at any fleet size. A failed probe is repeated through other
+members before the target is suspected, so that one bad path does not remove a member. A suspected
+member that is alive refutes the suspicion with a higher incarnation. A restarted daemon begins with
+a higher incarnation as well (its start time in milliseconds).
 
-The state machine does no I/O: ``tick`` and ``receive`` return the messages to send.
+The state machine does no I/O: ``tick`` and ``receive`` return the messages to send. Times are
+seconds of one clock, passed in by the caller.
 """
 
 from __future__ import annotations
@@ -28,22 +29,22 @@
 )
 from winchfork.core.open_probes import OpenProbes
 
+#: Changes sent with one message.
 PIGGYBACK_CHANGES = 6
-#: The same while more than that wait and doubts are among them, one and a half kilobytes: after a
-#: cut each side has doubted all of the other. Of 42 daemons in two regions all know each other's
-#: work 0.5 to 3.75 s after it has healed (12 seeds, virtual time); with six changes up to 6.75 s.
+#: Changes sent with one message while a backlog with suspicions is queued, as after a partition.
 BACKLOG_PIGGYBACK_CHANGES = 16
-#: A probe by a daemon that knows fewer members is answered with records drawn from all, this many
-#: for each member that it lacks and at most so many, 4 KB: when a whole fleet starts, changes that
-#: ride on messages alone take half a minute to reach 195 daemons.
+#: Random records in the reply to a daemon that knows fewer members, for each member that it lacks;
+#: speeds up the start of a whole fleet.
 RECORDS_PER_MISSING = 8
+#: Bounds the random records in one reply.
 MAX_RECORDS = 64
-#: Each change rides on this many messages times log2 of the members, then is dropped.
+#: Each change is sent with this many messages times log2 of the number of members.
 SPREAD_FACTOR = 3
+#: Members that are asked to repeat a failed probe.
 INDIRECT_PROBES = 2
-#: Periods between probes of members held for dead; after a cut each side holds the other so.
+#: Periods between probes of dead members, which reconnect the sides of a healed partition.
 RECONNECT_PERIODS = 2
-#: Dead members are remembered this long, so that old gossip cannot bring them back.
+#: Dead members are remembered for this long, so that old gossip cannot restore them.
 FORGET_DEAD_AFTER_S = 300.0
 
 
@@ -52,7 +53,7 @@
     since_s: float
 
 
-#: Told of each reply: who answered, its revisions, and when it was asked for them.
+#: Called for each reply with its sender, the sender's revisions and the time of the probe.
 OnReply = Callable[[Member, tuple[int, ...], float], None]
 
 
@@ -76,25 +77,26 @@
         self._generator = generator
         self._tracked: dict[str, _Tracked] = {}
         self._to_spread = GossipQueue()
-        #: Members whose status is not ALIVE: the only ones that time alone can change.
+        #: Members whose status is not ALIVE; only their status changes with time.
         self._not_alive: set[str] = set()
-        #: Members that were doubted or have refuted a doubt, while that is still to be spread.
+        #: Members with a suspicion or refutation that is still to be spread.
         self._recently_suspected: set[str] = set()
         self._unknown_seeds: list[str] = []
         self._unknown_seeds_as_of = -1
         self._probes = OpenProbes()
         self._probe_order: list[str] = []
         self._periods = 0
-        #: Counts changes of any record, so that readers can tell whether a view is still true.
+        #: Number of changes of any record; a view derived from the records is current while it
+        #: stays the same.
         self.change_count = 0
 
     def members(self, *, include_leaving: bool = True) -> list[Member]:
-        """Return the members that may be working, with this daemon, ordered by id."""
-        lowest_gone = MemberStatus.DEAD if include_leaving else MemberStatus.LEAVING
+        """Return the members that are not dead, this daemon included, ordered by id."""
+        excluded_from = MemberStatus.DEAD if include_leaving else MemberStatus.LEAVING
         found = [
-            entry.member for entry in self._tracked.values() if entry.member.status < lowest_gone
+            entry.member for entry in self._tracked.values() if entry.member.status < excluded_from
         ]
-        if self.own.status < lowest_gone:
+        if self.own.status < excluded_from:
             found.append(self.own)
         return sorted(found, key=lambda member: member.member_id)
 
@@ -110,34 +112,34 @@
         self._replace_own(msgspec.structs.replace(self.own, status=MemberStatus.LEAVING))
 
     def announce_store_delay(self, delay_ms: int) -> None:
-        """Announce how far this daemon is from the platform's store."""
+        """Announce this daemon's connection delay to the platform's store."""
         incarnation = self.own.incarnation + 1
         self._replace_own(
             msgspec.structs.replace(self.own, store_delay_ms=delay_ms, incarnation=incarnation)
         )
 
     def join(self, now_s: float) -> list[Outgoing]:
-        """Probe every seed at once, at the start: the replies bring members and documents."""
+        """Probe every seed at the start; the replies bring members and document revisions."""
         return [self._probe("", seed, now_s) for seed in self._seeds]
 
     def tick(self, now_s: float) -> list[Outgoing]:
-        """Run one period: expire what is overdue and probe one member."""
+        """Run one period: expire overdue probes and suspicions, and probe one member."""
         outgoing = self._expire_probes(now_s)
         self._expire_suspects(now_s)
         target = self._next_target()
         if target is not None:
-            told = self._suspicion_of(target)
-            outgoing.append(self._probe(target.member_id, target.peer_address, now_s, told))
+            suspicion = self._suspicion_of(target)
+            outgoing.append(self._probe(target.member_id, target.peer_address, now_s, suspicion))
         self._periods += 1
         if self._periods % RECONNECT_PERIODS == 0:
             outgoing += self._probe_dead(now_s)
-        strangers = self._find_unknown_seeds()
-        if strangers:
-            outgoing.append(self._probe("", self._generator.choice(strangers), now_s))
+        unknown_seeds = self._find_unknown_seeds()
+        if unknown_seeds:
+            outgoing.append(self._probe("", self._generator.choice(unknown_seeds), now_s))
         return outgoing
 
     def _find_unknown_seeds(self) -> list[str]:
-        """Return the seeds at whose address no member is known."""
+        """Return the seeds whose address belongs to no known member."""
         if self._unknown_seeds_as_of != self.change_count:
             self._unknown_seeds_as_of = self.change_count
             known = {entry.member.peer_address for entry in self._tracked.values()}
@@ -145,11 +147,11 @@
         return self._unknown_seeds
 
     def probe(self, member: Member, now_s: float) -> Outgoing:
-        """Probe one member besides the period's own."""
+        """Probe one member in addition to the period's regular probe."""
         return self._probe(member.member_id, member.peer_address, now_s)
 
     def receive(self, message: MembershipMessage, now_s: float) -> list[Outgoing]:
-        """Take in a message and return the replies."""
+        """Handle a message and return the messages to send in response."""
         self._learn(message.sender, now_s)
         for change in message.changes:
             self._learn(change, now_s)
@@ -182,7 +184,7 @@
 
     @property
     def _working_count(self) -> int:
-        """How many other members are known and not held for dead."""
+        """Number of other members that are known and not dead."""
         return len(self._tracked) - len(self._dead_member_ids())
 
     def _dead_member_ids(self) -> list[str]:
@@ -193,22 +195,22 @@
         ]
 
     def _suspicion_of(self, member: Member) -> tuple[Member, ...]:
-        """Return the record by which a member is doubted here, for the member itself to refute.
+        """Return a member's record if it is not alive here, so that the member can refute it.
 
-        Gossip alone brings it there late: after a cut each side has doubted all of the other.
+        It is sent to the member directly, since gossip alone may take long to deliver it.
         """
         entry = self._tracked.get(member.member_id)
-        doubted = entry is not None and entry.member.status is not MemberStatus.ALIVE
-        return (entry.member,) if entry is not None and doubted else ()
+        suspected = entry is not None and entry.member.status is not MemberStatus.ALIVE
+        return (entry.member,) if entry is not None and suspected else ()
 
     def _records_for(self, probe: Probe) -> list[Member]:
-        """Draw records for a daemon that knows fewer members than this one."""
+        """Draw random records for a daemon that knows fewer members than this one."""
         missing = self._working_count - probe.known_members
         if missing <= 0:
             return []
         entries = list(self._tracked.values())
-        most = min(MAX_RECORDS, RECORDS_PER_MISSING * missing, len(entries))
-        return [entry.member for entry in self._generator.sample(entries, most)]
+        count = min(MAX_RECORDS, RECORDS_PER_MISSING * missing, len(entries))
+        return [entry.member for entry in self._generator.sample(entries, count)]
 
     def _relay_probe(self, message: IndirectProbe) -> list[Outgoing]:
         target = self._tracked.get(message.target_id)
@@ -225,7 +227,7 @@
         return [Outgoing(target.member.peer_address, probe)]
 
     def _probe_dead(self, now_s: float) -> list[Outgoing]:
-        """Probe a member held for dead, telling it so: if it lives, it refutes."""
+        """Probe a dead member with its own record, which it refutes if it is alive."""
         dead = self._dead_member_ids()
         if not dead:
             return []
@@ -246,7 +248,7 @@
         return Outgoing(address, probe)
 
     def _next_target(self) -> Member | None:
-        """Walk the members in a shuffled round, so that each is probed once a round."""
+        """Return the next member of a shuffled round, which probes each member once."""
         while True:
             if not self._probe_order:
                 self._probe_order = sorted(
@@ -311,9 +313,9 @@
             self._install(record, now_s)
 
     def _refute(self, record: Member) -> None:
-        """Answer gossip that doubts this daemon with a higher incarnation of its own record."""
-        doubted = record.status > self.own.status and record.incarnation >= self.own.incarnation
-        if doubted:
+        """Refute gossip that suspects this daemon, with a higher incarnation of its own record."""
+        suspected = record.status > self.own.status and record.incarnation >= self.own.incarnation
+        if suspected:
             self._replace_own(msgspec.structs.replace(self.own, incarnation=record.incarnation + 1))
 
     def _replace_own(self, record: Member) -> None:
@@ -337,9 +339,10 @@
         self._to_spread.put(record.member_id, SPREAD_FACTOR * rounds)
 
     def _has_suspicion_backlog(self) -> bool:
-        """Whether many changes wait and some are doubts or refutations, as after a cut.
+        """Whether more changes are queued than fit a message, some of them suspicions.
 
-        Many wait when a whole fleet starts, too, but daemons that lack members are sent records.
+        Refutations count as well. A backlog without either, as at the start of a whole fleet, does
+        not count: daemons that lack members receive records then.
         """
         if len(self._to_spread) <= PIGGYBACK_CHANGES:
             self._recently_suspected.clear()
@@ -349,7 +352,7 @@
         return bool(self._recently_suspected)
 
     def _pop_changes(self) -> tuple[Member, ...]:
-        """Take the changes that have been sent the fewest times."""
-        most = BACKLOG_PIGGYBACK_CHANGES if self._has_suspicion_backlog() else PIGGYBACK_CHANGES
-        records = [self.get(member_id) for member_id in self._to_spread.pop(most)]
+        """Return the changes for one message, those sent the fewest times first."""
+        count = BACKLOG_PIGGYBACK_CHANGES if self._has_suspicion_backlog() else PIGGYBACK_CHANGES
+        records = [self.get(member_id) for member_id in self._to_spread.pop(count)]
         return tuple(record for record in records if record is not None)
--- a/winchfork/core/peer_message.py
+++ b/winchfork/core/peer_message.py
@@ -1,9 +1,8 @@
-"""The base of everything that daemons send each other: frozen records, arrays on the wire.
+"""Base class of all messages between daemons: frozen records, encoded as arrays.
 
-Field order is the wire format. Builds run beside each other while machines are replaced, so what
-one writes the other reads: a new field goes to the end and has a default, which an older writer
-leaves out and an older reader passes over. ``gc=False``: messages are trees without cycles, and the
-collector need not walk them.
+Field order is the wire format. Different builds run side by side during an upgrade, so a new field
+is appended and has a default: an older writer omits it, and an older reader ignores it. Messages
+contain no reference cycles, so ``gc=False`` is safe.
 """
 
 from __future__ import annotations
--- a/winchfork/core/peer_reports.py
+++ b/winchfork/core/peer_reports.py
@@ -1,52 +1,53 @@
-"""What peers alone say of replicas: advice, and no false word of one of them empties a service.
+"""Bounds the effect of peers' reports about replicas that this daemon has not observed itself.
 
-As long as one peer alone says something of a replica that this daemon has not heard itself, that
-counts for up to half of a service's replicas. What two peers say counts for all.
+A report by a single peer is accepted for at most ``MAX_UNCONFIRMED_SHARE`` of a service's replicas,
+so that one faulty peer cannot take a whole service out of use. A report that
+``MIN_CONFIRMING_PEERS`` peers agree on is always accepted.
 """
 
 from __future__ import annotations
 
 from collections.abc import Collection
 
-#: Peers whose word counts for any number of replicas.
+#: Reporters that confirm a report.
 MIN_CONFIRMING_PEERS = 2
-#: Part of a service's replicas for which the word of one peer counts.
+#: Share of a service's replicas for which unconfirmed reports are accepted.
 MAX_UNCONFIRMED_SHARE = 0.5
-#: Replicas of which it is remembered who said something: more than a fleet has.
+#: Bounds the table of reported replicas.
 MAX_REMEMBERED = 2048
 
 
 class PeerReports:
-    """Who has said one kind of thing of which replica, named by the hash of its incarnation."""
+    """The reporters of one kind of report, by the hash of the replica's incarnation."""
 
     def __init__(self) -> None:
         self._reporters: dict[int, set[str]] = {}
 
     def forget(self, incarnation: int) -> None:
-        """This daemon has heard it itself, or it is over."""
+        """Drop the reports of a replica: this daemon has observed it itself, or they are void."""
         self._reporters.pop(incarnation, None)
 
     def is_unconfirmed(self, incarnation: int) -> bool:
-        """Whether one peer alone says it."""
+        """Whether exactly one peer has reported the replica."""
         return len(self._reporters.get(incarnation, ())) == 1
 
     def accept(
         self, incarnation: int, reporter: str, accepted: Collection[int], replicas: int
     ) -> bool:
-        """Take in a peer's word, and return whether to heed it.
+        """Record a peer's report and return whether to act on it.
 
-        ``heeded`` are the incarnations of the service of which it is heeded already, and
-        ``replicas`` how many the service has. A word that does not count is kept until another
-        peer confirms it.
+        ``accepted`` holds the incarnations of the service for which such a report is in effect, and
+        ``replicas`` is the number of the service's replicas. A report that is not accepted is
+        remembered until another peer confirms it.
         """
         is_known = incarnation in accepted
         if is_known and incarnation not in self._reporters:
             return True
-        tellers = self._reporters.setdefault(incarnation, set())
-        tellers.add(reporter)
+        reporters = self._reporters.setdefault(incarnation, set())
+        reporters.add(reporter)
         if len(self._reporters) > MAX_REMEMBERED:
             del self._reporters[next(iter(self._reporters))]
-        if is_known or len(tellers) >= MIN_CONFIRMING_PEERS:
+        if is_known or len(reporters) >= MIN_CONFIRMING_PEERS:
             return True
-        alone = sum(self.is_unconfirmed(other) for other in accepted)
-        return alone + 1 <= MAX_UNCONFIRMED_SHARE * replicas
+        unconfirmed = sum(self.is_unconfirmed(other) for other in accepted)
+        return unconfirmed + 1 <= MAX_UNCONFIRMED_SHARE * replicas
--- a/winchfork/core/quota_ledger.py
+++ b/winchfork/core/quota_ledger.py
@@ -1,7 +1,7 @@
-"""Every tenant's quota as one daemon keeps it, and what daemons tell each other of them. No I/O.
+"""One daemon's ledger of all tenants' quotas, and the usage that daemons report. No I/O.
 
-Use is told as totals since a daemon's start, so that a message that is lost, late or comes twice
-does no harm: the next one makes up for it. ``life`` tells one start of a daemon from another.
+Usage is reported as totals since a daemon's start, so that the next message corrects for one that
+was lost, late or duplicated. ``start_id`` identifies one start of a daemon. Times are seconds.
 """
 
 from __future__ import annotations
@@ -22,23 +22,23 @@
     TenantQuota,
 )
 
-#: Totals are told again for this long after they have changed, in case a message was lost.
+#: Totals are resent for this long after their last change, in case a message was lost.
 RESEND_WINDOW_S = 1.0
-#: Totals that have not changed since they were told are told again after this long.
+#: Interval between two sends of an unchanged total.
 RESEND_INTERVAL_S = 0.3
-#: Seconds for which a daemon's look at its coverage holds; it looks each 0.05 or 0.2 s.
+#: Validity of a coverage check.
 COVERAGE_TTL_S = 0.5
-#: Starts of a daemon that are remembered; a message outlives no more of them.
+#: Starts of one daemon that are remembered.
 MAX_STARTS = 4
-#: Bits dropped of a name's hash: 32 tell tenants apart in half of the bytes.
+#: Reduces a 64-bit hash to a tenant key of 32 bits.
 _KEY_SHIFT = 32
 
 
 class QuotaTotals(PeerMessage, frozen=True):
-    """Units of one tenant that the sender has used and given back since its start.
+    """Units of one tenant that the sender has used and returned since its start.
 
-    ``lately`` are those used in the last second or two: all that a receiver may count that has
-    heard nothing of the sender's earlier use, and does not know what others have counted of it.
+    ``recent`` are the units used within the last one to two ``RESEND_WINDOW_S``. A receiver that
+    did not know the sender counts only these, since other daemons may have reported the rest.
     """
 
     key: int
@@ -48,24 +48,24 @@
 
 
 class QuotaReport(PeerMessage, frozen=True):
-    """The totals of one sender that have changed lately."""
+    """The recently changed totals of one sender."""
 
     start_id: int
     totals: tuple[QuotaTotals, ...]
 
 
 class QuotaLevel(PeerMessage, frozen=True):
-    """Units that are missing from a tenant's full bucket."""
+    """The units that are missing from a tenant's full bucket."""
 
     key: int
     used: int
 
 
 class QuotaLevels(PeerMessage, frozen=True):
-    """A daemon's estimates; a tenant that is not named has a full bucket if they are ``complete``.
+    """A daemon's estimated levels. If ``complete``, a tenant that is not listed has a full bucket.
 
-    ``coverage_percent`` is how much of the limits this part of the fleet may use. A guess is made
-    by one that has just started and has heard of no use before.
+    ``coverage_percent`` is the share of the limits that this part of the fleet may use.
+    ``is_guess`` marks the levels of a daemon that has just started and has received no usage yet.
     """
 
     coverage_percent: int
@@ -75,7 +75,7 @@
 
 
 def tenant_key(name: str) -> int:
-    """Return the number by which daemons name a tenant to each other."""
+    """Return the number that identifies a tenant in messages between daemons."""
     return member_hash(name) >> _KEY_SHIFT
 
 
@@ -89,16 +89,16 @@
     _used_before: float = 0.0
 
     def recent(self, now_s: float) -> float:
-        """Return what was used since the mark before the last."""
+        """Return the units used since the mark before the last one."""
         if now_s - self._mark_s >= RESEND_WINDOW_S:
-            long_ago = now_s - self._mark_s >= 2 * RESEND_WINDOW_S
-            self._used_before = self.used if long_ago else self._used_at_mark
+            is_mark_old = now_s - self._mark_s >= 2 * RESEND_WINDOW_S
+            self._used_before = self.used if is_mark_old else self._used_at_mark
             self._used_at_mark = self.used
             self._mark_s = now_s
         return self.used - self._used_before
 
     def add(self, cost: float, now_s: float) -> None:
-        """Count use, or below 0 what was given back."""
+        """Add used units, or returned ones if ``cost`` is negative."""
         self.recent(now_s)
         self.used += max(0.0, cost)
         self.returned += max(0.0, -cost)
@@ -106,18 +106,18 @@
 
 
 class UsageTotals:
-    """What was used and given back since a start, by tenant key."""
+    """Units used and returned since a daemon's start, by tenant key."""
 
     def __init__(self, start_id: int) -> None:
         self._start_id = start_id
         self._totals: dict[int, _Total] = {}
 
     def add(self, key: int, cost: float, now_s: float) -> None:
-        """Count use, or below 0 what was given back."""
+        """Add used units, or returned ones if ``cost`` is negative."""
         self._totals.setdefault(key, _Total()).add(cost, now_s)
 
     def report(self, now_s: float) -> QuotaReport | None:
-        """Return the totals that are to be told now; None without any."""
+        """Return the totals that are due to be sent; None if there are none."""
         changed = tuple(
             _mark_sent(key, total, now_s)
             for key, total in self._totals.items()
@@ -127,7 +127,7 @@
 
 
 def _is_due(total: _Total, now_s: float) -> bool:
-    """Whether a total is news, or was and may have been lost on its way."""
+    """Whether a total has changed since it was sent, or is due to be resent."""
     if now_s - total.changed_s > RESEND_WINDOW_S:
         return False
     return total.sent_at_s <= total.changed_s or now_s - total.sent_at_s >= RESEND_INTERVAL_S
@@ -135,41 +135,44 @@
 
 def _mark_sent(key: int, total: _Total, now_s: float) -> QuotaTotals:
     total.sent_at_s = now_s
-    lately = round(total.recent(now_s))
-    return QuotaTotals(key, round(total.used), round(total.returned), lately)
+    recent = round(total.recent(now_s))
+    return QuotaTotals(key, round(total.used), round(total.returned), recent)
 
 
 class _ReceivedTotals(msgspec.Struct):
-    """What was heard of one start of a daemon; ``from_start`` if all that it has used was."""
+    """Totals received from one start of a daemon; ``from_start`` if known since that start."""
 
     from_start: bool
     totals: dict[int, QuotaTotals]
 
 
 class UsageReceiver:
-    """Turns other daemons' totals into what is news since their last message."""
+    """Converts other daemons' totals into the units used since their last message."""
 
     def __init__(self) -> None:
-        #: By sender and its start. Which start is the newest is not known: a message may be late.
+        #: By sender and start. Starts are not ordered, since messages of an older one may be late.
         self._received: dict[str, OrderedDict[int, _ReceivedTotals]] = {}
 
     def receive(
         self, sender_id: str, report: QuotaReport, unknown_sender_share: float = 1.0
     ) -> dict[int, float]:
-        """Return the units that are news, by tenant key; each start of a sender counts by itself.
+        """Return the newly used units by tenant key; each start of a sender is counted separately.
 
-        ``stranger_share`` is how much counts of what a sender that was not known has used lately:
-        others may have told of the rest.
+        ``unknown_sender_share`` is the share of an unknown sender's recent usage that is counted,
+        since other daemons may have reported the rest.
         """
         starts = self._received.setdefault(sender_id, OrderedDict())
-        heard = starts.get(report.start_id)
-        if heard is None:
-            heard = starts[report.start_id] = _ReceivedTotals(bool(starts), {})
+        received = starts.get(report.start_id)
+        if received is None:
+            received = starts[report.start_id] = _ReceivedTotals(bool(starts), {})
         starts.move_to_end(report.start_id)
         if len(starts) > MAX_STARTS:
             starts.popitem(last=False)
-        news = {told.key: _new_usage(heard, told, unknown_sender_share) for told in report.totals}
-        return {key: cost for key, cost in news.items() if cost}
+        usage = {
+            totals.key: _new_usage(received, totals, unknown_sender_share)
+            for totals in report.totals
+        }
+        return {key: cost for key, cost in usage.items() if cost}
 
 
 def _new_usage(
@@ -194,16 +197,16 @@
         self._tolerance = tolerance
         self._quotas: dict[int, TenantQuota] = {}
         self._names: dict[int, str] = {}
-        #: What this daemon counts on.
+        #: Share of the refill that this daemon may use.
         self.refill_share = RefillShare()
-        #: Until when that holds, and whether the last look came later: after an own standstill.
         self._coverage_valid_until_s = math.inf
+        #: Whether the last check came after the end of that validity, as after a stall.
         self._was_check_late = False
-        #: This daemon's own use, to be told to peers.
+        #: This daemon's own usage, to be reported to peers.
         self.own_usage = UsageTotals(start_id)
 
     def install(self, limits: Mapping[str, TenantLimit], now_s: float) -> None:
-        """Put the limits of a configuration in force."""
+        """Apply the limits of a configuration."""
         keys = {tenant_key(name): name for name in limits}
         for key in self._quotas.keys() - keys.keys():
             del self._quotas[key]
@@ -217,7 +220,7 @@
                 known.set_limit(limits[name])
 
     def try_acquire(self, tenant: str, cost: float, now_s: float) -> QuotaRefusal | None:
-        """Use a tenant's quota, or say when to come back."""
+        """Use ``cost`` units of a tenant's quota, or return a refusal with the time to wait."""
         key = tenant_key(tenant)
         quota = self._quotas.get(key)
         if quota is None:
@@ -229,7 +232,7 @@
         return refusal
 
     def charge(self, tenant: str, cost: float, now_s: float) -> None:
-        """Count a request that is sent again; below 0, give back one that has not run."""
+        """Charge a resent request; a negative cost refunds a request that has not run."""
         key = tenant_key(tenant)
         quota = self._quotas.get(key)
         if quota is not None:
@@ -240,30 +243,29 @@
     # Other daemons
 
     def add_remote_usage(
-        self, news: Mapping[int, float], now_s: float, silent_s: float = 0.0
+        self, usage: Mapping[int, float], now_s: float, silent_s: float = 0.0
     ) -> None:
-        """Count what other daemons have used in ``unheard_s``, after what has flowed in before.
+        """Count what other daemons have used in the ``silent_s`` seconds before the report.
 
-        Of what was used over a longer time than a bucket takes to fill, the older part has flowed
-        in again: counted at once, the news of a zone that was cut off left tenants nothing for
-        seconds after its return.
+        If that is longer than a bucket takes to fill, only the part used within the fill time
+        counts: the rest has been refilled since.
         """
-        for key, cost in news.items():
+        for key, cost in usage.items():
             quota = self._quotas.get(key)
             if quota is not None:
                 self._refill(quota, now_s)
                 quota.add_remote_usage(cost * min(1.0, quota.full_refill_s / max(silent_s, 1e-3)))
 
     def replace(self, reported: QuotaLevels, now_s: float) -> None:
-        """Take a hub's word on the levels."""
-        named = {level.key: level.used for level in reported.levels}
+        """Replace the estimated levels by those that a hub has reported."""
+        used_by_key = {level.key: level.used for level in reported.levels}
         for key, quota in self._quotas.items():
-            if key in named or reported.complete:
+            if key in used_by_key or reported.complete:
                 self._refill(quota, now_s)
-                quota.replace(named.get(key, 0), now_s)
+                quota.replace(used_by_key.get(key, 0), now_s)
 
     def levels(self, now_s: float, *, complete: bool) -> tuple[QuotaLevel, ...]:
-        """Return the tenants whose buckets are not full, or only the low ones."""
+        """Return the levels of all buckets that are not full, or only of low ones."""
         for quota in self._quotas.values():
             self._refill(quota, now_s)
         return tuple(
@@ -282,10 +284,10 @@
         }
 
     def set_refill_share(self, refill_share: RefillShare, now_s: float) -> None:
-        """Count on a supply from now on.
+        """Set the share of the refill that this daemon may use from now on.
 
-        After an own standstill the news of that time is yet to be read, so what flowed in
-        meanwhile may be used from the next look on.
+        After a stall, the refill of that time is released only at the next check, since messages
+        that report the others' usage in the meantime may still be unread.
         """
         if refill_share != self.refill_share:
             for quota in self._quotas.values():
@@ -296,5 +298,5 @@
             self._coverage_valid_until_s = now_s + COVERAGE_TTL_S
 
     def _refill(self, quota: TenantQuota, now_s: float) -> None:
-        """Let flow in what is certain; beyond the time for which the coverage holds, it waits."""
+        """Refill a bucket, at most up to the end of the coverage's validity."""
         quota.refill(self.refill_share, min(now_s, self._coverage_valid_until_s))
