--- a/winchfork/core/__init__.py
+++ b/winchfork/core/__init__.py
@@ -1,1 +1,1 @@
-"""The decision core: no I/O, no clocks and no randomness; all three are passed in."""
+"""Decision logic without I/O, clocks or randomness of its own; callers pass them in."""
--- a/winchfork/core/claims.py
+++ b/winchfork/core/claims.py
@@ -1,25 +1,24 @@
-"""Claims: a request that must not be repeated runs at most once.
-
-Before an ingress dispatches such a request it needs votes from a majority of the key's voter
-panel: three daemons, one a zone. A panel is small and has an epoch of its own, so replacing a
-daemon touches one panel and costs the same at any fleet size. A voter keeps its votes in memory
-only, and votes for one attempt of a key. The action names here are those of the checked
-specification in ``spec/claim_spec.py`` and ``spec/panel_spec.py``.
-
-Why a restart is safe: keys carry their issue time. A voter grants a key only if it is stamped at
-or below its own clock plus ``future_s``, so every vote an earlier incarnation can have given is for
-a stamp at or below S + ``future_s`` (+ the clock difference of a machine and its replacement),
-where S is the start of the new incarnation. The new incarnation has authority only for stamps above
+"""Claims: at-most-once execution of requests that must not be repeated.
+
+Before an ingress dispatches such a request, it needs votes from a majority of the key's voter
+panel: three daemons, one per zone. Each panel has its own epoch, so replacing a daemon affects only
+its panels. A voter holds its votes in memory only, and votes for one attempt per key. The action
+names are those of the checked specifications ``spec/claim_spec.py`` and ``spec/panel_spec.py``.
+
+Safety of a restart: keys carry their issue time. A voter grants a key only if its stamp is at most
+the voter's clock plus ``future_s``. Every vote of an earlier incarnation is therefore for a stamp
+of at most S + ``future_s`` (plus the clock difference between a machine and its replacement), where
+S is the start of the new incarnation. The new incarnation has authority only for stamps above
 S + ``restart_s``, which covers both, and abstains from the rest (``spec/clock_spec.py``).
 
-Why a panel change is safe: the next epoch takes effect only after the old one is sealed, and its
-voters have authority only for stamps above the activation time plus the margin. A restarted voter
-may have sealed before and forgotten it. It is certified to vote, to vouch and to seal with full
-weight only (a) by a read of the store, made after its start, that shows the epoch and no intent to
-change it (a changer writes the intent before it asks for seals), or (b) by vouches of other
-certified voters, enough that any majority of seals contains one of theirs. A seal reports the
-incarnations its voter has seen, and a seal of an earlier incarnation does not count. An epoch is
-sealed by a majority of certified seals, or by seals of all voters.
+Safety of a panel change: the next epoch takes effect only after the old one is sealed, and its
+voters have authority only for stamps above the activation time plus ``restart_s``. A restarted
+voter may have sealed the epoch and lost that state. It is certified to vote, to vouch and to seal
+with full weight only (a) by a read of the store, made after its start, that shows the epoch and no
+intent to change it (the intent is written before seals are requested), or (b) by vouches of other
+certified voters, so many that any majority of seals contains one of theirs. A seal reports the
+incarnations that its voter has seen, and a seal of an earlier incarnation does not count. An epoch
+is sealed by a majority of certified seals, or by seals of all voters.
 """
 
 from __future__ import annotations
@@ -39,7 +38,7 @@
 from winchfork.core.rendezvous import rendezvous_owner
 from winchfork.errors import Failure, FailureKind, RunState
 
-#: Votes kept by one voter before the oldest is dropped (and its key abstained from).
+#: Votes held by one voter; beyond this the oldest is dropped, and the voter abstains on its key.
 MAX_VOTES = 50_000
 
 
@@ -53,7 +52,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class ClaimMargins:
-    """Clock margins in seconds; ``restart_s`` must exceed ``future_s`` plus the clock skew."""
+    """Clock margins in seconds; ``restart_s`` must exceed ``future_s`` plus the clock skew.
+
+    Keys older than ``retention_s`` receive no votes.
+    """
 
     future_s: float = CLAIM_FUTURE_MARGIN_S
     restart_s: float = CLAIM_RESTART_MARGIN_S
@@ -71,22 +73,22 @@
 
     @property
     def majority(self) -> int:
-        """Votes, or certified seals, that decide."""
+        """Number of votes, or of certified seals, that decides."""
         return len(self.voters) // 2 + 1
 
     @property
     def vouches_needed(self) -> int:
-        """Vouches that leave no majority of seals without a voucher."""
+        """Number of vouches with which every majority of seals contains a voucher's."""
         return len(self.voters) - self.majority + 1
 
 
 def panel_of_key(key: str, panel_ids: Iterable[str]) -> str | None:
-    """Return the panel that decides ``key``; every daemon has the same fixed panel ids."""
+    """Return the panel that votes on ``key``; panel ids are fixed and equal on every daemon."""
     return rendezvous_owner(key, panel_ids)
 
 
 class VoteRequest(PeerMessage, frozen=True):
-    """An ingress asks for a vote for its attempt. ``stamp_s`` is the key's issue time or None."""
+    """Asks a voter to vote for an attempt. ``stamp_s`` is the key's issue time, or None."""
 
     panel_id: str
     epoch: int
@@ -96,7 +98,7 @@
 
 
 class VoteReply(PeerMessage, frozen=True):
-    """A voter's answer; ``outcome`` is the kept answer of the attempt that holds the key."""
+    """A voter's answer; ``outcome`` is the recorded answer of the attempt that holds the key."""
 
     panel_id: str
     epoch: int
@@ -108,7 +110,7 @@
 
 
 class VoteRelease(PeerMessage, frozen=True):
-    """The ingress gave the attempt up before dispatch and will never dispatch it."""
+    """Reports that the ingress gave the attempt up before dispatch and will never dispatch it."""
 
     panel_id: str
     key: str
@@ -116,7 +118,7 @@
 
 
 class OutcomeRecord(PeerMessage, frozen=True):
-    """The answer of a dispatched attempt, kept with the vote for later retries of the key."""
+    """The answer of a dispatched attempt, stored with the vote for later retries of the key."""
 
     panel_id: str
     key: str
@@ -125,14 +127,14 @@
 
 
 class SealRequest(PeerMessage, frozen=True):
-    """The panel changer asks a voter to stop voting in ``epoch``; sent after the intent."""
+    """Asks a voter to stop voting in ``epoch``; sent after the intent is written."""
 
     panel_id: str
     epoch: int
 
 
 class SealReply(PeerMessage, frozen=True):
-    """The voter sealed. ``seen`` maps other voters to the newest incarnations it has seen."""
+    """Confirms a seal. ``seen`` maps other voters to the newest incarnations seen by the voter."""
 
     panel_id: str
     epoch: int
@@ -143,7 +145,7 @@
 
 
 class VouchRequest(PeerMessage, frozen=True):
-    """A restarted voter asks another voter of the panel whether it may vote again."""
+    """Asks another voter of the panel to vouch for a restarted voter."""
 
     panel_id: str
     epoch: int
@@ -152,7 +154,10 @@
 
 
 class VouchReply(PeerMessage, frozen=True):
-    """``vouches`` is False when the answerer is not certified, sealed, or knows another epoch."""
+    """Answers a :class:`VouchRequest`.
+
+    ``vouches`` is False if the answering voter is uncertified or sealed, or knows another epoch.
+    """
 
     panel_id: str
     epoch: int
@@ -204,11 +209,11 @@
 
     @property
     def may_vote(self) -> bool:
-        """Whether this incarnation votes in the epoch it knows."""
+        """Whether this incarnation may vote in the epoch that it knows."""
         return self._certified and not self._sealed
 
     def install_panel(self, panel: VoterPanel) -> None:
-        """Learn a newer epoch (action ``activate``); it starts without votes or certificate."""
+        """Install a newer epoch (action ``activate``), without votes and uncertified."""
         if panel.epoch <= self.panel.epoch:
             return
         self.panel = panel
@@ -220,13 +225,13 @@
         self._seen.clear()
 
     def on_store_read(self, panel: VoterPanel, *, change_intended: bool) -> None:
-        """Take a read that this incarnation made of the store (action ``read_store``)."""
+        """Handle a store read made by this incarnation (action ``read_store``)."""
         self.install_panel(panel)
         if panel.epoch == self.panel.epoch and not change_intended and not self._sealed:
             self._certified = True
 
     def on_vote_request(self, request: VoteRequest, now_s: float) -> VoteReply:
-        """Answer a vote request (specification action ``vote``)."""
+        """Answer a vote request (action ``vote``)."""
         vote = self._votes.get(request.key)
         if request.epoch != self.panel.epoch or not self.may_vote:
             return self._reply(request, Verdict.ABSTAINED, vote)
@@ -249,13 +254,13 @@
             del self._votes[release.key]
 
     def on_outcome(self, record: OutcomeRecord) -> None:
-        """Keep the answer of the attempt that holds the key (action ``record_outcome``)."""
+        """Store the answer of the attempt that holds the key (action ``record_outcome``)."""
         vote = self._votes.get(record.key)
         if vote is not None and vote.attempt == record.attempt:
             vote.outcome = record.outcome
 
     def on_seal_request(self, request: SealRequest) -> SealReply | None:
-        """Stop voting in the epoch (action ``seal``); None when another epoch is known here."""
+        """Stop voting in the epoch (action ``seal``); None if this voter knows another epoch."""
         if request.epoch != self.panel.epoch:
             return None
         self._sealed = True
@@ -269,7 +274,7 @@
         )
 
     def on_vouch_request(self, request: VouchRequest) -> VouchReply:
-        """Vouch for a restarted voter (action ``vouch``), if this one is certified to."""
+        """Vouch for a restarted voter (action ``vouch``) if this voter may vote itself."""
         vouches = request.epoch == self.panel.epoch and self.may_vote
         if vouches:
             self._record_seen(request.voter, request.incarnation)
@@ -283,7 +288,7 @@
         )
 
     def on_vouch_reply(self, reply: VouchReply) -> None:
-        """Count a vouch (action ``hear_vouch``); enough of them certify this incarnation."""
+        """Count a vouch (action ``hear_vouch``); ``vouches_needed`` certify this incarnation."""
         current = reply.epoch == self.panel.epoch and reply.subject_incarnation == self.incarnation
         if not current or not reply.vouches or reply.voter not in self.panel.voters:
             return
@@ -304,7 +309,7 @@
         return not from_future and stamp_s > self._authority_from_s + self._margins.restart_s
 
     def _evict_oldest_vote(self, now_s: float) -> None:
-        """Drop the oldest vote when full, giving up authority over everything as old as it."""
+        """Drop the oldest vote when full, and the authority over keys that are no newer."""
         if len(self._votes) <= MAX_VOTES:
             return
         dropped_key, _ = self._votes.popitem(last=False)
@@ -328,7 +333,7 @@
 
 
 class ClaimPhase(enum.Enum):
-    """The life of one attempt. There is no way back from GIVEN_UP or DISPATCHED."""
+    """Phases of an attempt. GIVEN_UP and DISPATCHED are final."""
 
     GATHERING = "gathering"
     WON = "won"
@@ -337,7 +342,7 @@
 
 
 class Claim:
-    """One attempt's claim at the ingress. Not thread-safe."""
+    """The claim of one attempt, held by the ingress. Not thread-safe."""
 
     def __init__(self, panel: VoterPanel, key: str, stamp_s: float | None, attempt: str) -> None:
         self.request = VoteRequest(panel.panel_id, panel.epoch, key, stamp_s, attempt)
@@ -348,12 +353,12 @@
         self._verdicts: dict[str, Verdict] = {}
 
     def on_vote_reply(self, reply: VoteReply) -> None:
-        """Count a reply (action ``hear``); late, crossed and foreign replies change nothing."""
-        wanted = self.request
+        """Count a reply (action ``hear``); replies to other requests or voters are ignored."""
+        request = self.request
         same = (reply.epoch, reply.key, reply.attempt) == (
-            wanted.epoch,
-            wanted.key,
-            wanted.attempt,
+            request.epoch,
+            request.key,
+            request.attempt,
         )
         if not same or reply.voter not in self.voters:
             return
@@ -366,10 +371,11 @@
 
     @property
     def is_decided(self) -> bool:
-        """Whether waiting for further replies is of no use.
+        """Whether further replies cannot change the result.
 
-        That is so when won, when a kept answer is known, or when so many voters abstain that no
-        majority is left and no voter holds the key for an attempt whose answer may still come.
+        True if the claim is won, if a recorded answer is known, or if so many voters abstain that
+        no majority is possible and no voter holds the key for an attempt that may still be
+        answered.
         """
         if self.phase is ClaimPhase.WON or self.recorded_outcome is not None:
             return True
@@ -378,11 +384,11 @@
         return abstained > len(self.voters) - self.majority and Verdict.HELD not in verdicts
 
     def voters_without_grant(self) -> list[str]:
-        """Return the voters that have not granted yet; they are asked again."""
+        """Return the voters that have not granted a vote, to be asked again."""
         return [voter for voter in self.voters if self._verdicts.get(voter) is not Verdict.GRANTED]
 
     def dispatch(self) -> bool:
-        """Take the one right to dispatch (action ``dispatch``); True at most once."""
+        """Use the right to dispatch (action ``dispatch``); True at most once."""
         if self.phase is not ClaimPhase.WON:
             return False
         self.phase = ClaimPhase.DISPATCHED
@@ -391,8 +397,8 @@
     def abandon(self) -> bool:
         """Give up a won claim before dispatch (action ``abandon``); False in any other phase.
 
-        The votes stay with this attempt for good: were they released, an earlier attempt that is
-        still gathering could win them and run after the caller was told "not run".
+        The votes stay with this attempt. If they were released, an earlier attempt that is still
+        gathering votes could win and run after the caller received "not run".
         """
         if self.phase is not ClaimPhase.WON:
             return False
@@ -400,12 +406,13 @@
         return True
 
     def give_up(self, *, first_send: bool) -> tuple[Failure, VoteRelease]:
-        """Give up while gathering (action ``give_up``); the release lets a later attempt win.
+        """Give up while gathering votes (action ``give_up``); return the failure and the release.
 
-        Nothing is proved about other attempts of the key, so the failure says "not run" only if the
-        caller declared this its first and only send; otherwise the outcome is unknown.
+        The release lets a later attempt win. Other attempts of the key may have run, so the failure
+        states "not run" only if the caller declared this its first and only send; otherwise the
+        outcome is unknown.
         """
-        assert self.phase is ClaimPhase.GATHERING, "a won claim is dispatched or abandoned"
+        assert self.phase is ClaimPhase.GATHERING, "only a claim that gathers votes can give up"
         self.phase = ClaimPhase.GIVEN_UP
         release = VoteRelease(self.request.panel_id, self.request.key, self.request.attempt)
         return self._give_up_failure(first_send), release
@@ -422,13 +429,13 @@
         if first_send:
             return kind.because(
                 f"no majority of voters granted the claim ({summary})",
-                remedy="send the command again under a new key",
+                remedy="resend the command under a new key",
                 ran=RunState.NOT_RUN,
                 retry_after_s=1.0,
             )
         return kind.because(
             f"another attempt of this key may have run ({summary})",
-            remedy="ask again with the same key; do not send the command under a new one",
+            remedy="retry with the same key; do not send the command under a new one",
             ran=RunState.UNKNOWN,
             retry_after_s=1.0,
         )
@@ -438,9 +445,9 @@
 
 
 def epoch_is_sealed(panel: VoterPanel, replies: Mapping[str, SealReply]) -> bool:
-    """Tell whether the seals let the next epoch take effect (action ``activate``).
+    """Whether the seals allow the next epoch to take effect (action ``activate``).
 
-    A seal counts only if no other seal has seen its voter under a higher incarnation.
+    A seal counts only if no other seal reports a higher incarnation of its voter.
     """
     counted = [
         reply
--- a/winchfork/core/region_map.py
+++ b/winchfork/core/region_map.py
@@ -1,7 +1,7 @@
-"""Which region each zone lies in, and how far two zones are from each other.
+"""The region of each zone, and the distance between two zones.
 
-Zones of one region are near enough to share work and kept cache. Between regions a message takes
-many times as long, cache moves slower than it is read anew, and all traffic shares one link.
+Zones of one region share work and cached blocks. Between regions messages take much longer,
+transferring cached blocks is slower than prefilling them again, and all traffic shares one link.
 """
 
 from __future__ import annotations
@@ -11,13 +11,12 @@
 
 import msgspec
 
-#: The region of a zone that the settings do not name: near everything, so that nothing is withheld
-#: from it.
+#: The region of a zone that the settings do not list; it counts as near every other zone.
 UNKNOWN_REGION = ""
 
 
 class Distance(enum.IntEnum):
-    """How far apart two zones are; a greater value is further."""
+    """Distance between two zones; a greater value is farther."""
 
     SAME_ZONE = 0
     SAME_REGION = 1
@@ -25,7 +24,7 @@
 
 
 class RegionMap(msgspec.Struct, frozen=True):
-    """The deployment's zones by name, each with its region."""
+    """Maps each zone of the deployment to its region."""
 
     regions: Mapping[str, str] = {}
 
@@ -34,7 +33,7 @@
         return self.regions.get(zone, UNKNOWN_REGION)
 
     def distance(self, zone: str, other_zone: str) -> Distance:
-        """Return how far one zone is from another."""
+        """Return the distance between two zones."""
         if zone == other_zone:
             return Distance.SAME_ZONE
         region, other_region = self.region_of(zone), self.region_of(other_zone)
@@ -52,5 +51,5 @@
         return tuple(sorted(self.regions))
 
     def regions_among(self, zones: Iterable[str]) -> list[str]:
-        """Return the regions of some zones, each once, sorted."""
+        """Return the regions of the given zones, sorted and without duplicates."""
         return sorted({self.region_of(zone) for zone in zones})
--- a/winchfork/core/rendezvous.py
+++ b/winchfork/core/rendezvous.py
@@ -22,15 +22,16 @@
 
 
 def mixed_order(key: int, hashed_member: int) -> float:
-    """Return the member's place for ``key`` in [0, 1); the lowest place is the first choice.
+    """Return the member's position for ``key`` in [0, 1); the lowest is the first choice.
 
-    A multiplication instead of a hash of text: this runs for every candidate of every decision.
+    ``hashed_member`` comes from :func:`member_hash`. Integer mixing is used instead of hashing text
+    because this runs for every candidate of every decision.
     """
     return (((key ^ hashed_member) * _MIX) & _MASK) / _RANGE
 
 
 def rendezvous_rank(key: int | str, members: Iterable[str]) -> list[str]:
-    """Return the members from the first choice for ``key`` to the last."""
+    """Return the members in order of preference for ``key``, the owner first."""
     return sorted(members, key=lambda member: (-rendezvous_score(key, member), member))
 
 
--- a/winchfork/core/request_digest.py
+++ b/winchfork/core/request_digest.py
@@ -1,10 +1,13 @@
-"""Names a request beyond one try: the same caller, method, host, target and body, under any id."""
+"""Identifies equal requests across attempts, whatever their request ids.
+
+Requests are equal if their caller, method, host, target and body are.
+"""
 
 from __future__ import annotations
 
 import hashlib
 
-#: Bytes of a digest. It is cryptographic: nobody can make a request that has another's digest.
+#: Long enough to be collision-resistant, so that no caller can forge another request's digest.
 DIGEST_BYTES = 16
 
 
--- a/winchfork/core/retry_budget.py
+++ b/winchfork/core/retry_budget.py
@@ -1,4 +1,4 @@
-"""Retries as a share of traffic, so that an outage is not amplified by the retries it causes."""
+"""Limits retries to a share of the traffic, so that they do not amplify an outage."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 
 class RetryBudget:
-    """Every first attempt earns ``ratio`` of a retry; a retry spends one; ``burst`` is the cap.
+    """Each first attempt adds ``ratio`` to the balance, a retry takes 1; ``burst`` caps it.
 
-    Over a long outage attempts / requests stays at or under 1 + ratio, plus ``burst`` once.
+    During a long outage, attempts per request stay at or below 1 + ``ratio``, plus ``burst``
+    retries once.
     """
 
     def __init__(
@@ -19,7 +20,7 @@
         self._balance = burst
 
     def record_request(self) -> None:
-        """Earn the share of one first attempt."""
+        """Add the share of one first attempt to the balance."""
         self._balance = min(self._burst, self._balance + self._ratio)
 
     def try_spend(self) -> bool:
--- a/winchfork/core/sliding_retry_budget.py
+++ b/winchfork/core/sliding_retry_budget.py
@@ -1,9 +1,9 @@
-"""One daemon's share of a retry budget that all daemons spend together.
+"""One daemon's share of a retry budget that applies to all daemons together.
 
-In every sliding window a service may receive ``ratio`` times its requests plus ``slack`` repeats.
-Each daemon spends the ratio of its own requests and an equal part of the slack, so that the sum
-holds without a message between daemons. A daemon that has just started may have spent its slack in
-the life before, so it has none until one window has passed.
+In every sliding window a service may receive ``ratio`` times its requests plus ``slack`` retries.
+Each daemon may use ``ratio`` times its own requests and an equal part of the slack, so that the
+total stays within the budget without coordination. A daemon that has just started gets no slack for
+one window, since it may have used it before the restart.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 import msgspec
 
-#: Part of the allowance that is spent: counting windows of daemons and back ends never align.
+#: Share of the allowance that is used, since the windows of daemons and back ends are not aligned.
 SAFETY_SHARE = 0.8
 
 
 class RetryAllowance(msgspec.Struct, frozen=True):
-    """The bound on repeats: ``ratio`` of requests plus ``slack`` in each ``window_s`` seconds."""
+    """Maximum retries: ``ratio`` times the requests plus ``slack`` in each ``window_s`` seconds."""
 
     ratio: float
     slack: float
@@ -25,7 +25,7 @@
 
 
 class SlidingRetryBudget:
-    """Counts requests and repeats of each service in the last window. Not thread-safe."""
+    """Counts requests and retries of each service in the last window. Not thread-safe."""
 
     def __init__(self, allowance: RetryAllowance, started_at_s: float) -> None:
         self._allowance = allowance
@@ -38,11 +38,11 @@
         self._trimmed(self._requests, service, now_s).append(now_s)
 
     def record_repeat(self, service: str, now_s: float) -> None:
-        """Count a repeat that was sent whatever the budget said."""
+        """Count a retry that was sent regardless of the budget."""
         self._trimmed(self._repeats, service, now_s).append(now_s)
 
     def remaining(self, service: str, daemons: int, now_s: float) -> float:
-        """Return how many repeats this daemon may still send to ``service`` now."""
+        """Return how many retries this daemon may still send to ``service`` now."""
         requests = len(self._trimmed(self._requests, service, now_s))
         repeats = len(self._trimmed(self._repeats, service, now_s))
         allowed = self._allowance.ratio * requests
@@ -51,7 +51,10 @@
         return SAFETY_SHARE * allowed - repeats
 
     def try_spend(self, service: str, daemons: int, now_s: float, reserve: float = 0.0) -> bool:
-        """Spend one repeat; False when the share, less ``reserve`` of it, is used up."""
+        """Spend one retry; False when this daemon's share, less the ``reserve``, is exhausted.
+
+        ``reserve`` is the fraction of the share that is left unused.
+        """
         repeats = len(self._trimmed(self._repeats, service, now_s))
         remaining = self.remaining(service, daemons, now_s)
         if remaining - reserve * (remaining + repeats) < 1.0:
--- a/winchfork/core/store_outage.py
+++ b/winchfork/core/store_outage.py
@@ -1,12 +1,12 @@
-"""Whether the store was away for every daemon, as far as one daemon can tell. No I/O, no clock.
-
-A call that failed here says nothing about the others: this process may have stood still, its
-connection may have fallen silent, or the store may have turned this machine away alone. Bounds that
-all daemons share begin anew only after an outage for all, so that is asserted on three findings
-together: nobody is known to have reached the store for longer than any sound watch takes, calls
-begun afresh failed here meanwhile, and most peers say when asked that they had not reached it
-either. One is not enough: the store may turn away two daemons at once, or a peer may have stood
-still.
+"""Detects from one daemon's observations that the store was out for every daemon. No I/O, no clock.
+
+A failed call here may have a local cause: a stall of this process, a dead connection, or a store
+that rejects only this machine. An outage for all daemons is therefore reported only if three
+conditions hold:
+
+- no daemon is known to have reached the store for ``MAX_WATCH_S``;
+- calls that were started in that time failed here;
+- enough peers (``peers_needed``) replied that they had not reached the store either.
 """
 
 from __future__ import annotations
@@ -15,24 +15,23 @@
 
 import msgspec
 
-#: Seconds after which a daemon without a newer proof has lost the store: its longest wait of one
-#: watch and that call's time limit.
+#: A store that is reachable answers within this time: the longest watch plus its call's timeout.
 MAX_WATCH_S = 2.5
-#: A peer that answers later than this may have stood still, and then has not tried to reach it.
+#: A later reply is ignored, since the peer may have stalled and not tried to reach the store.
 MAX_REPLY_DELAY_S = 0.5
 
 
 class StoreOutage(msgspec.Struct, frozen=True):
-    """A time in which nobody reached the store, from its last proof to its first one after."""
+    """A period without contact to the store, from the last answer before it to the first after."""
 
     started_at_s: float
     ended_at_s: float
 
 
 class StoreOutageDetector:
-    """Collects one daemon's findings. Times are monotonic seconds of this daemon.
+    """Collects one daemon's observations. Times are monotonic seconds of this daemon.
 
-    ``has_peers``: whether there are others to ask; without, its own findings have to do.
+    Without peers (``has_peers`` false), its own observations decide.
     """
 
     def __init__(self, started_s: float, *, has_peers: bool) -> None:
@@ -40,24 +39,24 @@
         self._started_s = started_s
         self._proven_s = -math.inf
         self._first_failure_s: float | None = None
-        #: Peers that have to say that they had not reached the store.
+        #: Number of peers that must confirm that they had not reached the store.
         self.peers_needed = 1
-        #: When the first call begun afresh that failed since the last proof began, and when each
-        #: peer was first asked that had no newer proof either.
+        #: Start of the first failed call since the last proof that was begun after a failure.
         self._first_fresh_failure_at_s = math.inf
+        #: Time of the first request to each peer that confirmed it.
         self._peers_agreed_at_s: dict[str, float] = {}
         self._ended: StoreOutage | None = None
 
     @property
     def is_suspected(self) -> bool:
-        """Whether this daemon's own calls fail, so that its peers had better be asked."""
+        """Whether this daemon's own calls fail, so that its peers should be asked."""
         return self._first_failure_s is not None
 
     def record_failure(self, begun_s: float, failed_s: float) -> None:
-        """Take in that an own call failed.
+        """Record a failed call of this daemon.
 
-        The first of a row may have gone over a connection that had fallen silent, or have run out
-        of time while this process stood still; what was begun after it was noticed has not.
+        The first failure in a row may be due to a dead connection or a stall of this process; calls
+        that begin after it are not affected by that.
         """
         if self._first_failure_s is None:
             self._first_failure_s = failed_s
@@ -65,14 +64,14 @@
             self._first_fresh_failure_at_s = min(self._first_fresh_failure_at_s, begun_s)
 
     def record_answer(self, at_s: float) -> None:
-        """Take in that the store answered a call of this daemon that began at ``at_s``."""
+        """Record that the store answered a call of this daemon that began at ``at_s``."""
         self._first_failure_s = None
         self._record_proof(at_s)
 
     def record_peer_reply(
         self, peer_id: str, proven_at_s: float, asked_s: float, replied_s: float
     ) -> None:
-        """Take in a peer's reply: when the store last answered it, and when the peer was asked."""
+        """Record a peer's reply to the question when the store last answered it."""
         if proven_at_s > self._proven_s:
             self._record_proof(proven_at_s)
             return
@@ -81,7 +80,7 @@
             self._peers_agreed_at_s.setdefault(peer_id, asked_s)
 
     def pop_ended(self) -> StoreOutage | None:
-        """Return an outage that has ended, once."""
+        """Return an outage that has ended, or None; each outage is returned once."""
         ended, self._ended = self._ended, None
         return ended
 
@@ -105,8 +104,8 @@
         self._peers_agreed_at_s = later
 
     def _was_unreachable_until(self, at_s: float) -> bool:
-        """Whether everything found since the last proof says that nobody reached the store."""
+        """Whether the observations since the last proof show an outage for all daemons."""
         failed_here = self._first_fresh_failure_at_s < at_s
         agreeing = sum(asked_s < at_s for asked_s in self._peers_agreed_at_s.values())
-        others_agree = agreeing >= self.peers_needed or not self._has_peers
-        return failed_here and others_agree and at_s - self._unreached_since_s >= MAX_WATCH_S
+        peers_agree = agreeing >= self.peers_needed or not self._has_peers
+        return failed_here and peers_agree and at_s - self._unreached_since_s >= MAX_WATCH_S
--- a/winchfork/core/store_position.py
+++ b/winchfork/core/store_position.py
@@ -1,4 +1,4 @@
-"""A moment in the life of the platform's store, as its answers name it."""
+"""A position in the history of the platform's store, as given in its answers."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 class StorePosition(msgspec.Struct, frozen=True, order=True):
     """A revision within an era; a later era is later, whatever the revisions.
 
-    A store that comes back from a copy begins the next era and gives revisions out again: two of
-    different eras say nothing about each other. Era 0: the store names none.
+    A store restored from a backup begins the next era and reuses revisions, so revisions of
+    different eras are not comparable. Era 0 stands for a store that reports no era.
     """
 
     era: int = 0
--- a/winchfork/core/suspect_runs.py
+++ b/winchfork/core/suspect_runs.py
@@ -1,8 +1,9 @@
-"""Runs of suspected requests that are under way, on this daemon and on others as far as they tell.
+"""Active runs of suspect requests, on this daemon and as reported by others.
 
-A suspect runs once at a time, and one under which two replicas have ended shares no replica with
-another such: what ends there next is then told from what was only near. Advice with an age, like
-all that daemons tell each other: a lost message costs certainty, never a promise.
+A suspect request runs once at a time. One under which two replicas have crashed is exclusive: it
+shares no replica with another such request, so that the next crash can be attributed to one of
+them. Reports of other daemons are advisory and expire: a lost one may only make the attribution
+less certain.
 """
 
 from __future__ import annotations
@@ -11,9 +12,9 @@
 
 
 class SuspectRun(msgspec.Struct, frozen=True):
-    """A run of a suspected request; ``until_s`` is when it has ended at the latest.
+    """A run of a suspect request, which ends at ``until_s`` at the latest.
 
-    ``alone``: no other such run may share its replica.
+    No other exclusive run may share the replica of a run with ``is_exclusive`` set.
     """
 
     incarnation: int
@@ -22,26 +23,26 @@
 
 
 class SuspectRuns:
-    """Runs by the daemon that sent them and by digest. Times are seconds. Not thread-safe."""
+    """Runs by the daemon that sent them and request digest. Times in seconds. Not thread-safe."""
 
     def __init__(self) -> None:
         self._runs: dict[tuple[str, bytes], SuspectRun] = {}
 
     def begin(self, daemon: str, digest: bytes, run: SuspectRun) -> None:
-        """Record that a daemon has sent a suspect."""
+        """Record that a daemon has sent a suspect request."""
         self._runs[daemon, digest] = run
 
     def end(self, daemon: str, digest: bytes) -> SuspectRun | None:
-        """Record that a daemon's run is over; None if it was not known."""
+        """Remove and return a daemon's run that has ended; None if it was not known."""
         return self._runs.pop((daemon, digest), None)
 
     def is_running(self, digest: bytes, now_s: float) -> bool:
-        """Whether a run of a request is under way."""
+        """Whether a run of a request is active."""
         self._forget(now_s)
         return any(key[1] == digest for key in self._runs)
 
     def exclusive_incarnations(self, now_s: float) -> frozenset[int]:
-        """Return the incarnations on which a suspect runs that shares no replica."""
+        """Return the incarnations with an exclusive run."""
         self._forget(now_s)
         return frozenset(run.incarnation for run in self._runs.values() if run.is_exclusive)
 
--- a/winchfork/core/tenant_quota.py
+++ b/winchfork/core/tenant_quota.py
@@ -1,13 +1,13 @@
-"""What a tenant may use, and what one daemon believes the whole fleet has used of it.
+"""A tenant's limit, and one daemon's estimate of what the whole fleet has used of it.
 
-A limit is a token bucket: ``rate_per_s`` flows in, ``burst`` is its depth. Every daemon admits by
-an estimate of its own: its own use at once, that of others as peers tell of it. Estimates lag, so
-the operators tolerate some excess in each window. A part of that tolerance is left to callers, the
-rest to what is on its way between daemons.
+A limit is a token bucket that refills at ``rate_per_s`` and holds ``burst`` units. Every daemon
+admits requests by its own estimate, which includes its own usage at once and that of its peers when
+they report it. Estimates lag, so operators tolerate some excess in each window: a part deepens the
+bucket, the rest covers usage that is not reported yet.
 
-A daemon that does not hear of all others may only use a share of what flows in (``coverage``), and
-one that hears of nobody only a part of its own besides, so that parts of a fleet that are cut from
-each other do not use the whole limit each. No clocks, no I/O.
+A daemon that does not receive the reports of all others may use only a share of the refill
+(``coverage``), and an isolated one only its own part, so that the sides of a network partition do
+not each use the whole limit. No clocks, no I/O.
 """
 
 from __future__ import annotations
@@ -17,28 +17,25 @@
 
 import msgspec
 
-#: Share of the tolerated excess that a tenant may use as a deeper bucket. The rest is for news on
-#: its way, which takes 0.06 to 0.12 s, and for daemons that are cut off or have just started.
+#: Share of the tolerated excess that deepens the bucket; the rest covers unreported usage.
 BURST_EXCESS_SHARE = 0.1
-#: Share of a bucket below which what is left is no longer taken for granted once a hub's word has
-#: grown old: at a limit every daemon would use it up for itself.
+#: A bucket filled below this share is low: without coverage, a daemon then uses only its own part.
 LOW_LEVEL_SHARE = 0.5
-#: Seconds after which a daemon's own use is part of what a hub has told it: two ticks of a hub and
-#: the ways there and back.
+#: A hub's report includes the usage that this daemon counted at least this long before.
 HUB_REPORT_LAG_S = 0.2
 
 
 class QuotaUnit(enum.Enum):
-    """What a quota counts."""
+    """Unit in which a quota is counted."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
 
 
 class TenantLimit(msgspec.Struct, frozen=True):
-    """One tenant's limit in units a second and a burst of units.
+    """One tenant's limit: units per second and a burst in units.
 
-    ``undeclared_cost`` is what a request counts as that does not say how many tokens it uses.
+    ``undeclared_cost`` is the cost of a request that does not declare its tokens.
     """
 
     rate_per_s: float
@@ -47,7 +44,7 @@
     undeclared_cost: float = 1.0
 
     def cost(self, declared_tokens: int | None) -> float:
-        """Return what a request counts as."""
+        """Return the cost of a request in units."""
         if self.unit is QuotaUnit.REQUESTS:
             return 1.0
         return self.undeclared_cost if declared_tokens is None else float(declared_tokens)
@@ -69,11 +66,11 @@
 
 
 class RefillShare(msgspec.Struct, frozen=True):
-    """How much of what flows in a daemon counts on.
+    """The share of the refill that a daemon may use.
 
-    ``coverage`` is the share of the fleet whose use is heard of. ``own_share`` is this daemon's own
-    part: one that ``is_alone`` uses no more than that. One that waits for its hub's next word has
-    no coverage for the moment.
+    ``coverage`` is the share of the fleet whose usage is received, or 0 while a report of the hub
+    is overdue. ``own_share`` is this daemon's own part; with ``is_isolated`` set it may use no more
+    than that.
     """
 
     coverage: float = 1.0
@@ -82,7 +79,7 @@
 
 
 class QuotaRefusal(msgspec.Struct, frozen=True):
-    """A request beyond the limit: ``retry_after_s`` is when the bucket will hold its cost."""
+    """Refusal of a request beyond the limit; its cost is available after ``retry_after_s``."""
 
     cost: float
     remaining: float
@@ -90,10 +87,10 @@
 
 
 class TenantQuota:
-    """One tenant's bucket as one daemon believes it to be. Not thread-safe.
+    """One daemon's estimate of one tenant's bucket. Not thread-safe.
 
-    ``used`` is what is missing from a full bucket, in units, as of the last :meth:`settle`. A new
-    daemon has forgotten what was used before its start, so it begins with nothing left.
+    ``used`` is the number of units missing from a full bucket as of the last :meth:`refill`. The
+    usage before the daemon's start is unknown, so the bucket starts empty.
     """
 
     def __init__(self, limit: TenantLimit, tolerance: QuotaTolerance, now_s: float) -> None:
@@ -106,21 +103,21 @@
 
     @property
     def limit(self) -> TenantLimit:
-        """The limit in force."""
+        """The current limit."""
         return self._limit
 
     @property
     def full_refill_s(self) -> float:
-        """Seconds in which an empty bucket is full."""
+        """Seconds that an empty bucket takes to fill."""
         return self._depth / self._limit.rate_per_s
 
     def set_limit(self, limit: TenantLimit) -> None:
-        """Put another limit in force; what was used stays used."""
+        """Change the limit; used units stay used."""
         self._limit = limit
         self._depth = limit.burst + BURST_EXCESS_SHARE * self._tolerance.excess(limit)
 
     def refill(self, refill_share: RefillShare, now_s: float) -> None:
-        """Let what has flowed in until now be used, as far as this daemon may count on it."""
+        """Refill the bucket up to ``now_s`` by the share that this daemon may use."""
         inflow = self._limit.rate_per_s * max(0.0, now_s - self._at_s)
         self._at_s = max(self._at_s, now_s)
         self.used = max(0.0, self.used - refill_share.coverage * inflow)
@@ -128,49 +125,51 @@
         self._own_allowance = min(share * self._depth, self._own_allowance + share * inflow)
 
     def remaining(self, refill_share: RefillShare) -> float:
-        """Return the units that may be used; below 0 after others have used them as well."""
-        left = self._depth - self.used
+        """Return the units that this daemon may use; negative if the bucket is overdrawn."""
+        available = self._depth - self.used
         if refill_share.is_isolated or (self.is_low and not refill_share.coverage):
-            return min(left, self._own_allowance)
-        return left
+            return min(available, self._own_allowance)
+        return available
 
     @property
     def is_low(self) -> bool:
-        """Whether so little is left that every daemon had better know soon."""
+        """Whether less than ``LOW_LEVEL_SHARE`` of the bucket remains."""
         return self._depth - self.used < LOW_LEVEL_SHARE * self._depth
 
     def try_acquire(
         self, cost: float, refill_share: RefillShare, now_s: float
     ) -> QuotaRefusal | None:
-        """Use ``cost`` units, or say when to come back.
+        """Use ``cost`` units, or return a refusal with the time to wait.
 
-        One request may cost more than the burst: it is admitted when the burst is there, and the
-        rest is owed.
+        A request that costs more than the burst is admitted once ``burst`` units are available, and
+        overdraws the bucket by the rest.
         """
         needed = min(cost, self._limit.burst)
-        left = self.remaining(refill_share)
-        if left >= needed:
+        available = self.remaining(refill_share)
+        if available >= needed:
             self.use(cost, now_s)
             return None
-        flow = self._limit.rate_per_s * (refill_share.coverage or refill_share.own_share)
-        wait_s = (needed - left) / flow if flow > 0.0 else self._tolerance.window_s
-        return QuotaRefusal(cost, left, wait_s)
+        inflow_per_s = self._limit.rate_per_s * (refill_share.coverage or refill_share.own_share)
+        wait_s = (
+            (needed - available) / inflow_per_s if inflow_per_s > 0.0 else self._tolerance.window_s
+        )
+        return QuotaRefusal(cost, available, wait_s)
 
     def use(self, cost: float, now_s: float) -> None:
-        """Count this daemon's own use, whatever is left; below 0 gives back what was not used."""
+        """Count own usage regardless of the limit; a negative cost returns unused units."""
         self.used += cost
         self._own_allowance -= cost
         self._drop_reported_usage(now_s)
         self._own_usage.append((now_s, cost))
 
     def add_remote_usage(self, cost: float) -> None:
-        """Count what other daemons have used or given back."""
+        """Count units that other daemons have used, or returned if negative."""
         self.used += cost
 
     def replace(self, used: float, now_s: float) -> None:
-        """Take a hub's word in place of the own estimate, and add what it cannot know yet."""
+        """Replace the estimate by a hub's, and add own usage that the hub cannot know yet."""
         self._drop_reported_usage(now_s)
-        # The word is of now: what has not been settled until then is in it.
+        # The hub's estimate already includes the refill up to now.
         self._at_s = max(self._at_s, now_s)
         self.used = used + sum(cost for _, cost in self._own_usage)
 
--- a/winchfork/core/waiting.py
+++ b/winchfork/core/waiting.py
@@ -1,9 +1,9 @@
-"""Work that may wait and must never be dropped: its stored documents. No I/O.
+"""Stored documents of durable requests that may wait. No I/O.
 
-Accepted requests are written to the key-value service in batches, one write for many requests. A
-long shared beginning is stored once under its hash, and each request holds the hash and its own
-rest. A batch never changes; answers go to a second document that only gains entries, so whoever
-runs a request, and however often, its first recorded answer is the one that counts.
+Accepted requests are written to the key-value store in batches, one write for many requests. A
+shared prompt head is stored once under its hash, and each request holds the hash and its own tail.
+A batch is immutable; answers go to a second document, in which the first recorded answer of a
+request is final, even if the request runs more than once.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 from winchfork.constants import BLOCK_BYTES
 
-#: Requests in one batch at most; bounds the size of one stored value.
+#: Maximum requests in one batch; bounds the size of one stored value.
 MAX_BATCH_REQUESTS = 200
-#: Bytes of prompt tails in one batch at most.
+#: Maximum bytes of prompt tails in one batch.
 MAX_BATCH_BYTES = 1_000_000
 _HASH_BYTES = 16
 
 
 @dataclasses.dataclass(frozen=True)
 class WaitingRequest:
-    """One accepted request. ``head_hash`` names the stored beginning, empty for none."""
+    """One accepted request. ``head_hash`` is the hash of its stored head; empty for none."""
 
     tenant: str
     traffic_class: str
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class WaitingAnswer:
-    """How a request ended: its text, or the code and reason of a final failure."""
+    """Result of a request: its text, or the code and reason of a final failure."""
 
     text: str = ""
     finish_reason: str = ""
@@ -49,13 +49,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class WaitingBatch:
-    """Requests that were accepted by one write."""
+    """Requests that were accepted with one write."""
 
     batch_id: str
     requests: tuple[WaitingRequest, ...]
 
     def to_text(self) -> bytes:
-        """Return the stored form."""
+        """Encode the batch as it is stored."""
         return json.dumps(
             {
                 "batch_id": self.batch_id,
@@ -65,18 +65,18 @@
 
     @classmethod
     def from_text(cls, text: bytes) -> WaitingBatch:
-        """Read the stored form."""
+        """Decode a stored batch."""
         document = json.loads(text)
         requests = tuple(WaitingRequest(**item) for item in document["requests"])
         return cls(document["batch_id"], requests)
 
     def request_id(self, number: int) -> str:
-        """Return the id by which a caller fetches a request's answer."""
+        """Return the id under which a caller fetches the answer of a request."""
         return f"{self.batch_id}.{number}"
 
 
 def parse_request_id(request_id: str) -> tuple[str, int] | None:
-    """Return batch id and number, or None for an id of another form."""
+    """Return the batch id and the request's number, or None for a malformed id."""
     batch_id, _, number = request_id.rpartition(".")
     if not batch_id or not number.isdigit():
         return None
@@ -84,10 +84,10 @@
 
 
 def split_prompt(prompt: str) -> tuple[str, str, str]:
-    """Return (hash, head, tail): the head is the whole blocks of the prompt but the last one.
+    """Return (hash, head, tail): the head holds all whole blocks of the prompt except the last one.
 
-    Prompts that share all but their last block share the stored head. Cut in characters, so that
-    no character is torn apart.
+    Prompts that share all whole blocks but the last share one stored head. Lengths are counted in
+    characters, so that no character is split.
     """
     head_length = max(0, len(prompt) // BLOCK_BYTES - 1) * BLOCK_BYTES
     head, tail = prompt[:head_length], prompt[head_length:]
@@ -98,7 +98,7 @@
 
 
 class BatchAnswers:
-    """The recorded answers of one batch; the first answer to a request stays."""
+    """The recorded answers of one batch; the first answer to a request is final."""
 
     def __init__(self, answers: dict[int, WaitingAnswer] | None = None) -> None:
         self.answers = dict(answers or {})
@@ -111,12 +111,12 @@
         return True
 
     def to_text(self) -> bytes:
-        """Return the stored form."""
+        """Encode the answers as they are stored."""
         document = {str(n): dataclasses.asdict(a) for n, a in sorted(self.answers.items())}
         return json.dumps(document).encode()
 
     @classmethod
     def from_text(cls, text: bytes) -> BatchAnswers:
-        """Read the stored form."""
+        """Decode stored answers."""
         document = json.loads(text)
         return cls({int(number): WaitingAnswer(**item) for number, item in document.items()})
--- a/winchfork/core/zone_hubs.py
+++ b/winchfork/core/zone_hubs.py
@@ -1,19 +1,16 @@
-"""Hubs: the few daemons of a zone through which the others are told things. Pure decisions.
-
-In a small fleet every daemon tells every other. In a larger one that would cost each daemon
-messages in proportion to the fleet, so two hubs a zone, the same on every daemon that sees the same
-members, collect what their zone has to say, tell it to the hubs of other zones, and pass on what
-those say. Two of the hubs watch the platform's store for all. A wrong view of who is a hub costs
-messages or a moment's ignorance, never a promise.
-
-Where zones lie in several regions, what a hub tells other zones stays in its region. The region's
-two first hubs, its speakers, exchange with those of other regions what concerns all, and pass on
-what they hear: so each piece of news crosses the link between two regions once or twice, however
-many zones and daemons there are on either side.
-
-A hub sends every message of its zone to each of its daemons, several hundred kilobytes a second
-where there are some eighty daemons. So the daemons with the best links are hubs: through a link of
-5 Mbit/s the news that decides placements comes late, and the hub's own callers wait with it.
+"""Selection of hubs, region hubs and store watchers from the members of the fleet. Pure functions.
+
+In a small fleet every daemon sends to every other (full mesh). In a larger one two hubs per zone
+collect the messages of their zone, exchange them with the hubs of other zones and forward what they
+receive. Two of all hubs watch the platform's store for the fleet. Daemons that see the same members
+choose the same hubs; differing views cost extra messages or a delay, never correctness.
+
+With several regions, hubs exchange messages only with the hubs of their own region. The first two
+hubs of each region, its region hubs, exchange the aggregated messages with those of other regions,
+so that the traffic between two regions does not depend on the number of zones and daemons.
+
+A hub forwards every message of its zone to each daemon of the zone, so the daemons with the fastest
+links are chosen.
 """
 
 from __future__ import annotations
@@ -26,25 +23,23 @@
 from winchfork.core.region_map import RegionMap
 from winchfork.core.rendezvous import rendezvous_score
 
-#: Two, so that the loss of one leaves the zone informed.
+#: Tolerates the loss of one hub.
 HUBS_PER_ZONE = 2
-#: Hubs of different zones that watch the platform's store for the whole fleet: two, for the same
-#: reason. Every watcher is woken by every change, and each call has a price, whatever the fleet.
+#: Hubs that watch the platform's store for the whole fleet; tolerates the loss of one.
 WATCHERS_PER_FLEET = 2
-#: Hubs of a region that speak with other regions: two, for the same reason.
+#: Hubs of a region that exchange messages with other regions; tolerates the loss of one.
 HUBS_PER_REGION = 2
-#: Delays to the store that differ by less than this, in milliseconds, count as equal: those of the
-#: zones of one region, as against those of another region.
+#: Regions whose delays to the store differ by less than this count as equally near to it.
 STORE_DELAY_STEP_MS = 8
-#: Up to this many daemons, each tells every other.
+#: Up to this many daemons, each sends to every other.
 MAX_FULL_MESH_MEMBERS = 13
 
 
 @dataclasses.dataclass(frozen=True)
 class FleetView:
-    """The daemons as one of them sees them, itself among them, and the hubs of each zone.
+    """One daemon's view of all daemons, itself included, and the hubs of each zone.
 
-    A view never changes: what is derived from it is derived once.
+    A view is immutable, so derived values are cached.
     """
 
     own: Member
@@ -56,7 +51,7 @@
     def of(
         cls, own: Member, members: Sequence[Member], regions: RegionMap | None = None
     ) -> FleetView:
-        """Choose each zone's hubs: those that answer, the best links first, then by rendezvous."""
+        """Choose each zone's hubs: live members first, then the fastest links, then by hash."""
         by_zone: dict[str, list[Member]] = {}
         for member in members:
             by_zone.setdefault(member.zone, []).append(member)
@@ -68,12 +63,12 @@
 
     @functools.cached_property
     def is_full_mesh(self) -> bool:
-        """Whether the fleet is small enough for every daemon to tell every other."""
+        """Whether the fleet is small enough for every daemon to send to every other."""
         return len(self.members) <= MAX_FULL_MESH_MEMBERS
 
     @functools.cached_property
     def own_hubs(self) -> tuple[Member, ...]:
-        """The hubs of this daemon's zone, this daemon perhaps among them."""
+        """The hubs of this daemon's zone, which may include this daemon."""
         return self.hubs.get(self.own.zone, ())
 
     @functools.cached_property
@@ -83,7 +78,10 @@
 
     @functools.cached_property
     def watchers(self) -> tuple[Member, ...]:
-        """The daemons that watch the store: everybody in a small fleet, else a few hubs."""
+        """The daemons that watch the store: all in a small fleet, otherwise a few hubs.
+
+        Live hubs come first, then hubs near the store, then the first hub of each zone.
+        """
         if self.is_full_mesh:
             return self.members
         first_hubs = sorted((hubs[0] for hubs in self.hubs.values()), key=_watcher_order)
@@ -103,7 +101,7 @@
 
     @functools.cached_property
     def is_near_store(self) -> bool:
-        """Whether no region is clearly nearer to the store than this daemon's."""
+        """Whether no other region is known to be nearer to the store than this daemon's."""
         return self._is_near(self.own)
 
     def _is_near(self, member: Member) -> bool:
@@ -111,7 +109,7 @@
 
     @functools.cached_property
     def _store_region(self) -> str | None:
-        """The region that is clearly the nearest to the store; None where none is known to be."""
+        """The region nearest to the store by ``STORE_DELAY_STEP_MS``; None if there is none."""
         nearest: dict[str, int] = {}
         for hub in (hub for hubs in self.hubs.values() for hub in hubs):
             if hub.status is MemberStatus.ALIVE and hub.store_delay_ms:
@@ -124,15 +122,16 @@
 
     @functools.cached_property
     def proof_sources(self) -> tuple[Member, ...]:
-        """The daemons whose proofs this one relies on: hubs ask watchers, others their hubs.
+        """The daemons whose freshness proofs this one uses: watchers for hubs, hubs for others.
 
-        Hubs of a region without a watcher ask its speakers, and only those ask across the link.
+        In a region without a watcher only the region hubs ask the watchers, across the link, and
+        the other hubs ask the region hubs.
         """
-        nearer = self.own_hubs
+        sources = self.own_hubs
         if self.is_hub:
-            watched = any(not self._is_cross_region(watcher) for watcher in self.watchers)
-            nearer = self.watchers if watched or self.is_region_hub else self.region_hubs
-        return tuple(member for member in nearer if member.member_id != self.own.member_id)
+            has_watcher = any(not self._is_cross_region(watcher) for watcher in self.watchers)
+            sources = self.watchers if has_watcher or self.is_region_hub else self.region_hubs
+        return tuple(member for member in sources if member.member_id != self.own.member_id)
 
     @functools.cached_property
     def others(self) -> tuple[Member, ...]:
@@ -152,7 +151,7 @@
 
     @functools.cached_property
     def other_zone_hubs(self) -> tuple[Member, ...]:
-        """The hubs of every other zone, whatever its region."""
+        """The hubs of every other zone in any region."""
         zones = [zone for zone in self.hubs if zone != self.own.zone]
         return tuple(hub for zone in zones for hub in self.hubs[zone])
 
@@ -163,24 +162,24 @@
 
     @functools.cached_property
     def region_hubs(self) -> tuple[Member, ...]:
-        """The hubs that speak for this daemon's region, the first before its successor."""
+        """The region hubs of this daemon's region, the first before its successor."""
         return self._region_hubs_of(self.regions.region_of(self.own.zone))
 
     @functools.cached_property
     def is_region_hub(self) -> bool:
-        """Whether this daemon is one of its region's speakers."""
-        return any(speaker.member_id == self.own.member_id for speaker in self.region_hubs)
+        """Whether this daemon is one of its region's region hubs."""
+        return any(hub.member_id == self.own.member_id for hub in self.region_hubs)
 
     @functools.cached_property
     def other_region_hubs(self) -> tuple[Member, ...]:
-        """The speakers of every other region."""
+        """The region hubs of every other region."""
         own_region = self.regions.region_of(self.own.zone)
         regions = self.regions.regions_among(zone for zone in self.hubs if zone)
-        far = [region for region in regions if region != own_region]
-        return tuple(speaker for region in far for speaker in self._region_hubs_of(region))
+        others = [region for region in regions if region != own_region]
+        return tuple(hub for region in others for hub in self._region_hubs_of(region))
 
     def is_in_other_region(self, member_id: str) -> bool:
-        """Whether a daemon is known to be of another region."""
+        """Whether a daemon is known to be in another region."""
         return any(member.member_id == member_id for member in self._other_region_members)
 
     @functools.cached_property
@@ -191,7 +190,7 @@
         return self.regions.is_cross_region(self.own.zone, member.zone)
 
     def _region_hubs_of(self, region: str) -> tuple[Member, ...]:
-        """Return the first hubs of a region's zones: each speaks for its zone already."""
+        """Return a region's first hubs, taking the first hub of every zone before second ones."""
         zones = [zone for zone in self.hubs if self.regions.region_of(zone) == region]
         first = sorted((self.hubs[zone][0] for zone in zones), key=_region_hub_order)
         second = [hub for zone in zones for hub in self.hubs[zone][1:]]
@@ -214,6 +213,6 @@
 
 
 def _order(member: Member, duty: str) -> _Order:
-    doubted = member.status is not MemberStatus.ALIVE
+    not_alive = member.status is not MemberStatus.ALIVE
     score = rendezvous_score(duty, member.member_id)
-    return doubted, -member.link_mbps, -score, member.member_id
+    return not_alive, -member.link_mbps, -score, member.member_id
--- a/winchfork/core/zone_reachability.py
+++ b/winchfork/core/zone_reachability.py
@@ -1,21 +1,20 @@
-"""Which zones cannot be reached from here, found out once for a whole zone.
+"""Detects zones that cannot be reached from this zone, as by a network partition.
 
-When a zone is cut off, its replicas fail one after another, each after a time-out of its own, for
-each daemon anew. Hubs hear the other zones' hubs many times a second, so their silence is the first
-sign. Silence alone may mean that a zone's daemons have been killed while its replicas work; failed
-replicas alone may be just that. Both together mean that the zone is out of reach.
+Daemons can then avoid a lost zone without a timeout on each of its replicas. A zone is unreachable
+if its hubs are silent and several of its replicas have failed. Neither alone suffices: a zone's
+replicas may work while its daemons are down, and replicas may fail for reasons of their own.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-#: Seconds without a word from a zone's hubs, who speak every half second at least.
+#: A zone is silent after this long without a message; hubs send at least every 0.5 s.
 SILENCE_TIMEOUT_S = 0.7
-#: Replicas of a silent zone that must have failed, and within how long.
+#: Replicas of a silent zone that must have failed within ``FAILURE_WINDOW_S``.
 MIN_FAILED_REPLICAS = 2
 FAILURE_WINDOW_S = 3.0
-#: Seconds for which the word of a hub holds; it is told anew with each of its complete messages.
+#: Validity of a hub's report, which is renewed by each of its complete messages.
 HUB_REPORT_TTL_S = 1.2
 
 
@@ -31,26 +30,28 @@
         self._report_valid_until_s = 0.0
 
     def record_message(self, zone: str, now_s: float) -> None:
-        """Record a word from a daemon of a zone: what had failed there may be tried again."""
+        """Record a message from a daemon of a zone, and forget the failures of its replicas."""
         if zone != self._own_zone:
             self._received_at_s[zone] = now_s
             self._failed_at_s.pop(zone, None)
 
     def record_failure(self, zone: str, replica_hash: int, now_s: float) -> None:
-        """Record that a replica did not even acknowledge what was sent to it."""
+        """Record that a replica did not acknowledge the data that was sent to it."""
         if zone != self._own_zone:
             self._failed_at_s.setdefault(zone, {})[replica_hash] = now_s
 
     def silent_zones(self, now_s: float, silence_s: float = SILENCE_TIMEOUT_S) -> frozenset[str]:
-        """Return the zones that were heard once and are silent now."""
+        """Return the zones without a message for ``silence_s`` that had sent one before."""
         return frozenset(
-            zone for zone, heard_s in self._received_at_s.items() if now_s - heard_s > silence_s
+            zone
+            for zone, received_s in self._received_at_s.items()
+            if now_s - received_s > silence_s
         )
 
     def detect_unreachable(
         self, now_s: float, silence_s: float = SILENCE_TIMEOUT_S
     ) -> frozenset[str]:
-        """Return the zones that this daemon itself finds out of reach."""
+        """Return the zones that are unreachable by this daemon's own observations."""
         return frozenset(
             zone
             for zone in self.silent_zones(now_s, silence_s)
@@ -64,7 +65,7 @@
     def adopt(
         self, zones: Iterable[str], now_s: float, *, is_isolated: bool = False
     ) -> frozenset[str]:
-        """Take what a hub says, or what this daemon has found; return the zones that are news."""
+        """Install a hub's or this daemon's own findings; return the newly unreachable zones."""
         before = self.unreachable(now_s)
         self._reported_zones = frozenset(zones)
         self._reported_isolated = is_isolated
@@ -72,14 +73,14 @@
         return self._reported_zones - before
 
     def unreachable(self, now_s: float) -> frozenset[str]:
-        """Return the zones to send nothing to while others take work."""
+        """Return the zones that get no requests while replicas in other zones accept them."""
         return self._reported_zones if now_s < self._report_valid_until_s else frozenset()
 
     def is_isolated(self, now_s: float) -> bool:
-        """Whether this zone hears no other, as told last."""
+        """Whether this zone was last reported to be cut off from all other zones."""
         return self._reported_isolated and now_s < self._report_valid_until_s
 
     def detect_isolated(self, now_s: float, silence_s: float) -> bool:
-        """Whether this daemon itself finds every other zone silent."""
+        """Whether every other zone is silent by this daemon's own observations."""
         known = len(self._received_at_s)
         return known > 0 and len(self.silent_zones(now_s, silence_s)) == known
