--- a/tests/large_fleet.py
+++ b/tests/large_fleet.py
@@ -1,4 +1,4 @@
-"""A large fleet of daemons in three zones before one store. Virtual time."""
+"""A large fleet of daemons in three zones with one store, in virtual time."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LargeFleet:
-    """Daemons in three zones before one store."""
+    """Daemons in three zones that share one store."""
 
     def __init__(self) -> None:
         self.network = Network()
@@ -52,7 +52,7 @@
         }
 
     async def oldest_proof_s(self, versions: range, daemons: list[Daemon]) -> float:
-        """Put a configuration a second; return the greatest age of a proof that was seen."""
+        """Write one configuration per second; return the maximum age of any daemon's proof."""
         oldest_s = 0.0
         for version in versions:
             self.put_configuration(version)
--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet under tenants' traffic and faults in virtual time, judged by a perfect central counter.
+"""Simulates a fleet under tenants' traffic and faults in virtual time, to check quota sharing.
 
-The daemons are the real peer side of router processes on a virtual network. What they admit is
-judged twice: against the bound in every window, and against one bucket that sees every request.
+The daemons run the real peer code of router processes on a virtual network. What they admit is
+checked against the bound in every window and against an ideal central bucket.
 """
 
 from __future__ import annotations
@@ -18,46 +18,46 @@
 from winchfork.router.settings import RouterBounds
 
 ZONES = ("z1", "z2", "z3")
-#: The figures of the deployment that has quotas.
 TOLERANCE = QuotaTolerance(window_s=8.0, overage=0.1, slack=110_000.0)
-#: A daemon that nobody can reach refuses every key from this long after it was cut off.
+#: An isolated daemon refuses every API key from this long after its isolation.
 KEYS_EXPIRE_S = 3.85
-#: Tenants by their limit, in tokens a second; what they use is 1 / USUAL_SHARE of it.
+#: Limit of each tenant in tokens per second.
 RATES = (29_000.0, 29_000.0, 50_000.0, 100_000.0, 297_000.0)
-USUAL_SHARE = 1.8
-#: Two kinds of request: tokens on average, and their share of all requests.
+#: Ratio of a tenant's limit to its usual rate.
+LIMIT_TO_USUAL_RATE = 1.8
+#: Mean tokens of large and of small requests, and the share of large ones.
 LARGE_TOKENS, SMALL_TOKENS, LARGE_SHARE = 9_200.0, 900.0, 0.35
 MEAN_TOKENS = LARGE_SHARE * LARGE_TOKENS + (1.0 - LARGE_SHARE) * SMALL_TOKENS
-#: Daemons that one tenant's callers are connected to.
-CALLERS = 15
+#: Callers of each tenant, each connected to one daemon.
+CALLERS_PER_TENANT = 15
 STABILIZATION_S = 16.0
 
 
 class QuotaSharing(Protocol):
-    """One way of sharing quotas over daemons, numbered from 0."""
+    """Shares quotas among daemons, numbered from 0."""
 
     def try_acquire(self, daemon: int, tenant: int, cost: float) -> bool:
-        """Whether a daemon lets a request through."""
+        """Whether a daemon admits a request."""
         ...
 
     def set_limit(self, tenant: int, limit: TenantLimit) -> None:
-        """Put a limit in force on every daemon."""
+        """Apply a limit on every daemon."""
         ...
 
     def isolate(self, daemons: Sequence[int]) -> None:
-        """Cut these daemons off from all others, each from each; an empty list heals."""
+        """Isolate each of these daemons from all others; an empty list ends it."""
         ...
 
     def partition(self, daemons: Sequence[int]) -> None:
-        """Cut these daemons off from all others, not from each other; an empty list heals."""
+        """Separate these daemons as a group from all others; an empty list ends it."""
         ...
 
     def kill(self, daemons: Sequence[int]) -> None:
-        """End daemons without a word."""
+        """Stop daemons without an announcement."""
         ...
 
     def start(self, daemons: Sequence[int]) -> None:
-        """Start them again: they know nothing."""
+        """Start daemons without state."""
         ...
 
     def sent_bytes(self) -> int:
@@ -66,23 +66,23 @@
 
 
 class DaemonQuotaSharing:
-    """The real daemons: each counts by itself and corrects by what the others tell."""
+    """The real daemons, which count usage locally and correct it by their peers' reports."""
 
     def __init__(
         self, count: int, limits: Sequence[TenantLimit], loss: float, seed: int, delay_s: float
     ) -> None:
         self._limits = {f"tenant-{number}": limit for number, limit in enumerate(limits)}
         self._bounds = RouterBounds(quota=TOLERANCE)
-        self._cut: set[str] = set()
-        self._apart: set[str] = set()
+        self._isolated: set[str] = set()
+        self._partitioned: set[str] = set()
         self._ended_bytes = 0
         generator = random.Random(seed)
         self._network = Network()
         self._network.delay_s = delay_s
         self._network.drop = lambda sender, receiver: (
-            sender in self._cut
-            or receiver in self._cut
-            or (sender in self._apart) != (receiver in self._apart)
+            sender in self._isolated
+            or receiver in self._isolated
+            or (sender in self._partitioned) != (receiver in self._partitioned)
             or generator.random() < loss
         )
         self._daemons: list[Daemon | None] = [None] * count
@@ -104,10 +104,10 @@
                 daemon.state.quotas.install(self._limits, daemon.state.clock())
 
     def isolate(self, daemons: Sequence[int]) -> None:
-        self._cut = _addresses(daemons)
+        self._isolated = _addresses(daemons)
 
     def partition(self, daemons: Sequence[int]) -> None:
-        self._apart = _addresses(daemons)
+        self._partitioned = _addresses(daemons)
 
     def kill(self, daemons: Sequence[int]) -> None:
         for number in daemons:
@@ -133,9 +133,10 @@
 
 @dataclasses.dataclass
 class ScenarioResult:
-    """What a scenario came to. ``excess`` is the most units beyond the bound in any window.
+    """Result of a scenario. ``excess`` is the maximum of units beyond the bound in any window.
 
-    ``lost`` are units that a perfect counter lets through and this way does not, tenant by tenant.
+    ``lost`` is the sum over tenants of the units that an ideal central bucket admits beyond those
+    that the fleet admits; ``expected`` is what that bucket admits in total.
     """
 
     offered: int = 0
@@ -147,56 +148,62 @@
 
     @property
     def lost_share(self) -> float:
-        """Units lost, of all that a perfect counter lets through."""
+        """Lost units as a share of the expected ones."""
         return self.lost / max(1.0, self.expected)
 
 
 class _CentralBucket:
-    """The perfect counter: one bucket that sees every request at once."""
+    """The ideal reference: one bucket that sees every request immediately."""
 
     def __init__(self, limit: TenantLimit, now_s: float) -> None:
         self.limit = limit
         self.admitted = 0.0
-        self._left = limit.burst
+        self._available = limit.burst
         self._at_s = now_s
 
     def try_acquire(self, cost: float, now_s: float) -> bool:
-        flow = self.limit.rate_per_s * (now_s - self._at_s)
-        self._left = min(self.limit.burst, self._left + flow)
+        inflow = self.limit.rate_per_s * (now_s - self._at_s)
+        self._available = min(self.limit.burst, self._available + inflow)
         self._at_s = now_s
-        if self._left < min(cost, self.limit.burst):
+        if self._available < min(cost, self.limit.burst):
             return False
-        self._left -= cost
+        self._available -= cost
         self.admitted += cost
         return True
 
 
 class QuotaScenario:
-    """Traffic, faults and the judge. ``hot`` multiplies one tenant's usual use from the start."""
+    """Generates traffic and faults and evaluates the outcome.
 
-    def __init__(self, sharing: QuotaSharing, count: int, seed: int, hot: float = 1.0) -> None:
+    ``load_factor`` multiplies the usual rate of the first and the last tenant.
+    """
+
+    def __init__(
+        self, sharing: QuotaSharing, count: int, seed: int, load_factor: float = 1.0
+    ) -> None:
         self.sharing = sharing
         self.count = count
         self.generator = random.Random(seed)
         self.result = ScenarioResult()
         self.down: set[int] = set()
-        self._cut_at_s: dict[int, float] = {}
-        self._hot = hot
+        self._disconnected_at_s: dict[int, float] = {}
+        self._load_factor = load_factor
         self._loop = asyncio.get_running_loop()
         self._limits = [TenantLimit(rate, rate, QuotaUnit.TOKENS, 200.0) for rate in RATES]
         now_s = self._loop.time()
         self._central = [_CentralBucket(limit, now_s) for limit in self._limits]
-        #: Limits with the time from which each is judged.
+        #: Limits, each with the time from which it is checked.
         self._limit_history = [[(0.0, limit)] for limit in self._limits]
         self._admitted: list[list[tuple[float, float]]] = [[] for _ in self._limits]
         self._callers = [
-            [self.generator.randrange(count) for _ in range(CALLERS)] for _ in self._limits
+            [self.generator.randrange(count) for _ in range(CALLERS_PER_TENANT)]
+            for _ in self._limits
         ]
 
     async def run(
         self, seconds: float, faults: Callable[[QuotaScenario], object]
     ) -> ScenarioResult:
-        """Play traffic for some seconds; ``faults`` schedules what goes wrong."""
+        """Generate traffic for ``seconds``; ``faults`` schedules the faults."""
         faults(self)
         before = self.sharing.sent_bytes()
         until_s = self._loop.time() + seconds
@@ -210,25 +217,25 @@
         return self.result
 
     def at(self, delay_s: float, action: Callable[[], object]) -> None:
-        """Do something after a while."""
+        """Call ``action`` after ``delay_s``."""
         self._loop.call_later(delay_s, action)
 
     def pick(self, share: float) -> list[int]:
-        """Draw a share of the daemons."""
+        """Return a random share of the daemons."""
         return self.generator.sample(range(self.count), max(1, round(share * self.count)))
 
     def isolate(self, daemons: Sequence[int]) -> None:
-        """Cut daemons off; they go on serving until their keys expire."""
-        self._cut_at_s = dict.fromkeys(daemons, self._loop.time())
+        """Isolate daemons; they continue to serve until their keys expire."""
+        self._disconnected_at_s = dict.fromkeys(daemons, self._loop.time())
         self.sharing.isolate(daemons)
 
     def partition(self, daemons: Sequence[int]) -> None:
-        """Cut daemons off together; they go on serving until their keys expire."""
-        self._cut_at_s = dict.fromkeys(daemons, self._loop.time())
+        """Separate daemons as a group; they continue to serve until their keys expire."""
+        self._disconnected_at_s = dict.fromkeys(daemons, self._loop.time())
         self.sharing.partition(daemons)
 
     def kill(self, daemons: Sequence[int]) -> None:
-        """End daemons; callers go elsewhere."""
+        """Stop daemons; callers use other ones."""
         self.down |= set(daemons)
         self.sharing.kill(daemons)
 
@@ -237,12 +244,12 @@
         self.sharing.start(daemons)
         self.down -= set(daemons)
 
-    def gather(self, tenant: int) -> None:
-        """Move all callers of a tenant to one daemon."""
+    def concentrate(self, tenant: int) -> None:
+        """Connect all callers of a tenant to one daemon."""
         self._callers[tenant] = [self.generator.randrange(self.count)]
 
     def lower_limit(self, tenant: int, share: float) -> None:
-        """Lower a limit; it is judged from a window later."""
+        """Lower a limit; it is checked from one window later."""
         old = self._limits[tenant]
         new = TenantLimit(old.rate_per_s * share, old.burst * share, old.unit, 200.0)
         self._limits[tenant] = new
@@ -251,8 +258,8 @@
         self.sharing.set_limit(tenant, new)
 
     async def _offer(self, tenant: int, until_s: float) -> None:
-        hot = self._hot if tenant == len(RATES) - 1 or tenant == 0 else 1.0
-        per_s = hot * RATES[tenant] / USUAL_SHARE / MEAN_TOKENS
+        load_factor = self._load_factor if tenant == len(RATES) - 1 or tenant == 0 else 1.0
+        per_s = load_factor * RATES[tenant] / LIMIT_TO_USUAL_RATE / MEAN_TOKENS
         while self._loop.time() < until_s:
             await asyncio.sleep(self.generator.expovariate(per_s))
             self._request(tenant)
@@ -277,7 +284,7 @@
             callers[self.generator.randrange(len(callers))] = self.generator.randrange(self.count)
         daemon = self.generator.choice(callers)
         for _ in range(self.count):
-            expired = now_s - self._cut_at_s.get(daemon, now_s) > KEYS_EXPIRE_S
+            expired = now_s - self._disconnected_at_s.get(daemon, now_s) > KEYS_EXPIRE_S
             if daemon not in self.down and not expired:
                 return daemon
             daemon = (daemon + 1) % self.count
@@ -285,9 +292,9 @@
 
     def _evaluate(self) -> None:
         for tenant, admitted in enumerate(self._admitted):
-            owed = self._central[tenant].admitted
-            self.result.expected += owed
-            self.result.lost += max(0.0, owed - sum(cost for _, cost in admitted))
+            expected = self._central[tenant].admitted
+            self.result.expected += expected
+            self.result.lost += max(0.0, expected - sum(cost for _, cost in admitted))
             first = 0
             total = 0.0
             for at_s, cost in admitted:
@@ -310,7 +317,7 @@
     seed: int,
     faults: Callable[[QuotaScenario], object],
     *,
-    hot: float = 1.0,
+    load_factor: float = 1.0,
     loss: float = 0.01,
     seconds: float = 14.0,
     delay_s: float = 0.002,
@@ -318,12 +325,12 @@
         [int, Sequence[TenantLimit], float, int, float], QuotaSharing
     ] = DaemonQuotaSharing,
 ) -> ScenarioResult:
-    """Play one scenario in virtual time."""
+    """Run one scenario in virtual time."""
 
     async def main() -> ScenarioResult:
         limits = [TenantLimit(rate, rate, QuotaUnit.TOKENS, 200.0) for rate in RATES]
-        way = make_sharing(count, limits, loss, seed, delay_s)
+        sharing = make_sharing(count, limits, loss, seed, delay_s)
         await asyncio.sleep(STABILIZATION_S)
-        return await QuotaScenario(way, count, seed, hot).run(seconds, faults)
+        return await QuotaScenario(sharing, count, seed, load_factor).run(seconds, faults)
 
     return run_virtually(main())
--- a/tests/test_claim_spec.py
+++ b/tests/test_claim_spec.py
@@ -1,4 +1,4 @@
-"""The specification holds, its mutants are found, and the code's core walks with it."""
+"""Checks the claim specification, its mutants, and that the code conforms to it."""
 
 from __future__ import annotations
 
@@ -25,30 +25,30 @@
 
 
 class SpecificationTest(unittest.TestCase):
-    def test_every_check_comes_out(self) -> None:
+    def test_all_specification_checks_pass(self) -> None:
         results = run_checks(deep=False)
         self.assertEqual([result.name for result in results if not result.passed], [])
         self.assertGreaterEqual(sum("mutant" in result.name for result in results), 6)
-        holds = [
+        proofs = [
             result
             for result in results
             if result.name.startswith(("clock:", "claim:", "relay:", "suspension:"))
         ]
-        self.assertTrue(all(result.exhaustive for result in holds))
+        self.assertTrue(all(result.exhaustive for result in proofs))
 
 
 class _CodeWalk:
-    """The code's objects, moved by the specification's action labels.
+    """Drives the code's voters and claims by the specification's action labels.
 
-    The specification keeps voters sorted, so the walk keeps its own unsorted copy of each voter's
-    abstract state and applies the chosen action to the code's voter in the same abstract state.
+    The specification keeps voters sorted and the walk does not: it applies each action to a voter
+    of the code whose abstract state equals that of the specification's voter.
     """
 
     def __init__(self) -> None:
         self.voters = [self._voter(f"v{number}", 1, 0.0) for number in range(3)]
         self.claims: list[Claim | None] = [self._claim("A"), None]
         self.replies: dict[tuple[int, int], VoteReply] = {}
-        self.heard: set[tuple[int, int]] = set()
+        self.received: set[tuple[int, int]] = set()
         self.released: set[tuple[int, int]] = set()
         self.authority = [1, 1, 1]
         self.outcomes: set[int] = set()
@@ -66,7 +66,7 @@
     def abstract_voter(self, number: int) -> claim_spec.Voter:
         vote = self.voters[number]._votes.get("key")
         reply = [
-            0 if (number, i) not in self.replies else 2 if (number, i) in self.heard else 1
+            0 if (number, i) not in self.replies else 2 if (number, i) in self.received else 1
             for i in (0, 1)
         ]
         released = [int((number, i) in self.released) for i in (0, 1)]
@@ -89,13 +89,13 @@
         if action == "send_again":
             self.claims[1] = self._claim("B")
         elif names[0].startswith("v"):
-            number = self._like(state[5][int(names[0][1:])])
+            number = self._find_voter(state[5][int(names[0][1:])])
             attempt = "AB".index(names[1]) if len(names) > 1 else A
             getattr(self, f"_{action}")(number, attempt)
         else:
             getattr(self, f"_{action}", lambda attempt: None)("AB".index(names[0]))
 
-    def _like(self, voter: claim_spec.Voter) -> int:
+    def _find_voter(self, voter: claim_spec.Voter) -> int:
         return next(number for number in range(3) if self.abstract_voter(number) == voter)
 
     def claim(self, attempt: int) -> Claim:
@@ -110,7 +110,7 @@
 
     def _hear(self, number: int, attempt: int) -> None:
         self.claim(attempt).on_vote_reply(self.replies[number, attempt])
-        self.heard.add((number, attempt))
+        self.received.add((number, attempt))
 
     def _replay(self, number: int, attempt: int) -> None:
         reply = self.voters[number].on_vote_request(self.claim(attempt).request, _NOW_S)
@@ -180,7 +180,7 @@
             if expected is not None and claim is not None:
                 self.assertIs(claim.phase, expected, label)
 
-    def test_dispatch_is_taken_once_and_never_after_giving_up(self) -> None:
+    def test_claim_dispatches_once_and_never_after_giving_up(self) -> None:
         walk = _CodeWalk()
         claim = walk.claim(A)
         for number in (0, 1):
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""A voter's rules, one failure each: restart, clock, seal, vouch, held keys."""
+"""Rules of claim voters: restarts, clock margins, held keys, certification, seals and epochs."""
 
 from __future__ import annotations
 
@@ -36,16 +36,14 @@
 
 
 class VoterTest(unittest.TestCase):
-    def test_restarted_voter_abstains_from_what_an_earlier_incarnation_can_have_granted(
-        self,
-    ) -> None:
+    def test_restarted_voter_abstains_on_keys_that_it_may_have_granted_before(self) -> None:
         voter = _voter()
         self.assertIs(_verdict(voter, _START_S + 1.0), Verdict.ABSTAINED)
         self.assertIs(_verdict(voter, _START_S - 5.0), Verdict.ABSTAINED)
         self.assertIs(_verdict(voter, None), Verdict.ABSTAINED)
         self.assertIs(_verdict(voter, _START_S + 1.1), Verdict.GRANTED)
 
-    def test_voter_abstains_from_keys_stamped_ahead_of_its_clock(self) -> None:
+    def test_voter_abstains_on_keys_stamped_ahead_of_its_clock(self) -> None:
         self.assertIs(_verdict(_voter(), _START_S + 10.6), Verdict.ABSTAINED)
         self.assertIs(_verdict(_voter(), _START_S + 10.4), Verdict.GRANTED)
 
@@ -55,7 +53,7 @@
         self.assertIs(_verdict(voter, _START_S + 5.0, "second"), Verdict.HELD)
         self.assertIs(_verdict(voter, _START_S + 5.0, "first"), Verdict.GRANTED)
 
-    def test_voter_without_certificate_neither_votes_nor_vouches(self) -> None:
+    def test_uncertified_voter_neither_votes_nor_vouches(self) -> None:
         voter = _voter(certified=False)
         self.assertIs(_verdict(voter, _START_S + 5.0), Verdict.ABSTAINED)
         self.assertFalse(voter.on_vouch_request(VouchRequest("p0", 1, "b", 2)).vouches)
@@ -75,7 +73,7 @@
             restarted.on_vouch_reply(_voter(name).on_vouch_request(VouchRequest("p0", 1, "a", 2)))
         self.assertFalse(restarted.may_vote)
 
-    def test_sealed_voter_stops_and_reports_whom_it_vouched_for(self) -> None:
+    def test_sealed_voter_stops_voting_and_reports_whom_it_vouched_for(self) -> None:
         voter = _voter("b")
         voter.on_vouch_request(VouchRequest("p0", 1, "a", 2))
         reply = voter.on_seal_request(SealRequest("p0", 1))
@@ -85,13 +83,13 @@
         voter.on_store_read(_PANEL, change_intended=False)
         self.assertIs(_verdict(voter, _START_S + 5.0), Verdict.ABSTAINED)
 
-    def test_seal_of_an_incarnation_that_was_vouched_away_does_not_count(self) -> None:
+    def test_seal_of_an_earlier_incarnation_does_not_count(self) -> None:
         old = SealReply("p0", 1, "a", 1, True, {})
-        knows = SealReply("p0", 1, "b", 1, True, {"a": 2})
+        saw_restart = SealReply("p0", 1, "b", 1, True, {"a": 2})
         unaware = SealReply("p0", 1, "b", 1, True, {})
         uncertified = SealReply("p0", 1, "b", 2, False, {})
         self.assertTrue(epoch_is_sealed(_PANEL, {"a": old, "b": unaware}))
-        self.assertFalse(epoch_is_sealed(_PANEL, {"a": old, "b": knows}))
+        self.assertFalse(epoch_is_sealed(_PANEL, {"a": old, "b": saw_restart}))
         self.assertFalse(epoch_is_sealed(_PANEL, {"a": old, "b": uncertified}))
 
     def test_new_epoch_has_authority_only_after_its_activation(self) -> None:
@@ -103,7 +101,7 @@
             request = VoteRequest("p0", 2, f"k{stamp_s}", _START_S + stamp_s, "x")
             self.assertIs(voter.on_vote_request(request, _START_S + 10.0).verdict, expected)
 
-    def test_stamp_is_read_from_uuid7_only(self) -> None:
+    def test_issue_time_is_read_from_uuid7_keys_only(self) -> None:
         self.assertIsNotNone(issue_time_of_key(new_command_key()))
         self.assertIsNone(issue_time_of_key("2f1b0c6e-7a55-4c1e-9d59-1f6a3c1f9f10"))
         self.assertIsNone(issue_time_of_key("stop-turbine-9"))
--- a/tests/test_fence_book.py
+++ b/tests/test_fence_book.py
@@ -1,4 +1,4 @@
-"""Fences rise over the store's eras, and a holder takes the place of no new one."""
+"""Fences increase over the store's eras, and a leader never replaces a newer leader's entry."""
 
 from __future__ import annotations
 
@@ -15,38 +15,38 @@
 from winchfork.stores.async_key_value import StoreLease
 
 
-class FenceBookTest(unittest.TestCase):
+class FenceRegistryTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.book = FenceRegistry()
-        self.book.record_entry(StorePosition(1, 64))
+        self.registry = FenceRegistry()
+        self.registry.record_entry(StorePosition(1, 64))
 
-    def test_a_revision_is_fence_enough_while_it_rises(self) -> None:
-        self.assertIsNone(self.book.fence_to_record(StorePosition(1, 64)))
-        self.assertEqual(self.book.fence_of(StorePosition(1, 70)), 70)
+    def test_rising_revision_needs_no_recorded_fence(self) -> None:
+        self.assertIsNone(self.registry.fence_to_record(StorePosition(1, 64)))
+        self.assertEqual(self.registry.fence_of(StorePosition(1, 70)), 70)
 
-    def test_a_lower_revision_needs_a_fence_of_its_own(self) -> None:
-        self.assertEqual(self.book.fence_to_record(StorePosition(2, 55)), 65)
+    def test_lower_revision_needs_a_recorded_fence(self) -> None:
+        self.assertEqual(self.registry.fence_to_record(StorePosition(2, 55)), 65)
 
-    def test_a_recorded_fence_is_that_of_the_entry_written_with_it(self) -> None:
-        self.book.record_fence(StorePosition(2, 57), 65)
-        self.assertEqual(self.book.fence_of(StorePosition(2, 57)), 65)
-        self.assertEqual(self.book.fence_of(StorePosition(2, 58)), 65)
-        self.assertEqual(self.book.fence_of(StorePosition(3, 58)), 58)
-        self.assertEqual(self.book.fence_of(StorePosition(2, 70)), 70)
-        self.assertEqual(self.book.fence_to_record(StorePosition(2, 58)), 66)
+    def test_recorded_fence_applies_to_later_entries_of_its_era(self) -> None:
+        self.registry.record_fence(StorePosition(2, 57), 65)
+        self.assertEqual(self.registry.fence_of(StorePosition(2, 57)), 65)
+        self.assertEqual(self.registry.fence_of(StorePosition(2, 58)), 65)
+        self.assertEqual(self.registry.fence_of(StorePosition(3, 58)), 58)
+        self.assertEqual(self.registry.fence_of(StorePosition(2, 70)), 70)
+        self.assertEqual(self.registry.fence_to_record(StorePosition(2, 58)), 66)
 
-    def test_a_fence_that_replicas_refuse_is_exceeded_by_far(self) -> None:
-        self.book.record_refusal(64)
-        self.assertGreater(self.book.fence_to_record(StorePosition(1, 70)) or 0, 1_000)
+    def test_refused_fence_is_raised_by_a_large_increment(self) -> None:
+        self.registry.record_refusal(64)
+        self.assertGreater(self.registry.fence_to_record(StorePosition(1, 70)) or 0, 1_000)
 
-    def test_an_entry_of_before_is_told_from_a_new_one(self) -> None:
-        self.assertTrue(self.book.is_restored(StorePosition(2, 64)))
-        self.assertFalse(self.book.is_restored(StorePosition(2, 57)))
-        self.assertFalse(self.book.is_restored(StorePosition(1, 64)))
+    def test_restored_entry_is_distinguished_from_a_new_one(self) -> None:
+        self.assertTrue(self.registry.is_restored(StorePosition(2, 64)))
+        self.assertFalse(self.registry.is_restored(StorePosition(2, 57)))
+        self.assertFalse(self.registry.is_restored(StorePosition(1, 64)))
 
 
 class LeaderEntryTest(unittest.TestCase):
-    def test_a_new_holders_entry_is_not_replaced(self) -> None:
+    def test_new_leaders_entry_is_not_replaced(self) -> None:
         async def scenario() -> object:
             store = MemoryStore()
             entry = LeaderEntry(store, "n1")
@@ -57,7 +57,7 @@
 
         self.assertIsNone(run_virtually(scenario()))
 
-    def test_the_fence_is_written_with_the_entry(self) -> None:
+    def test_fence_is_written_in_the_same_transaction_as_the_entry(self) -> None:
         async def scenario() -> tuple[bytes | None, int, int]:
             store = MemoryStore()
             entry = LeaderEntry(store, "n1")
@@ -73,8 +73,8 @@
         self.assertEqual(value, b"71")
         self.assertEqual(revision, last)
 
-    def test_what_a_leader_writes_after_the_stores_return_has_its_entry_as_condition(self) -> None:
-        """Its records conflicted for 38 s: the entry's revision was taken for the next one."""
+    def test_leader_knows_its_entry_revision_after_the_store_is_restored(self) -> None:
+        """Guards against conflicts of its writes, which are conditional on that revision."""
 
         async def scenario(fleet: StoreRestoreFleet) -> None:
             await fleet.lose_recent_writes()
@@ -86,7 +86,7 @@
 
         run_in_store_restore_fleet(3, scenario)
 
-    def test_a_record_that_is_no_number_means_nothing(self) -> None:
+    def test_malformed_fence_record_is_ignored(self) -> None:
         entry = LeaderEntry(MemoryStore(), "n1")
         for value in (b"", b"x", b"-1", b"1.5", b"9" * 40):
             entry.record_fence(StorePosition(1, 5), value)
@@ -94,8 +94,8 @@
 
 
 class RefusedFenceTest(unittest.TestCase):
-    def test_a_leader_whose_fence_replicas_refuse_takes_a_higher_one(self) -> None:
-        """All daemons had restarted; nobody knew the fences that the store had lost."""
+    def test_leader_whose_fence_is_refused_uses_a_higher_one(self) -> None:
+        """As after a restart of all daemons, when none knows the fences that the store lost."""
 
         async def scenario() -> list[int]:
             replica = FakeReplica("i-1")
--- a/tests/test_gossip_queue.py
+++ b/tests/test_gossip_queue.py
@@ -1,4 +1,4 @@
-"""The queue of changes that ride on membership messages."""
+"""The queue of changes that are piggybacked on membership messages."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class GossipQueueTest(unittest.TestCase):
-    def test_each_name_is_taken_as_often_as_asked(self) -> None:
+    def test_each_name_is_sent_the_requested_number_of_times(self) -> None:
         queue = GossipQueue()
         queue.put("a", 3)
         queue.put("b", 1)
-        taken = [name for _ in range(5) for name in queue.pop(6)]
-        self.assertEqual(sorted(taken), ["a", "a", "a", "b"])
+        popped = [name for _ in range(5) for name in queue.pop(6)]
+        self.assertEqual(sorted(popped), ["a", "a", "a", "b"])
         self.assertEqual(len(queue), 0)
 
-    def test_what_was_told_least_goes_first(self) -> None:
+    def test_least_sent_names_go_first(self) -> None:
         queue = GossipQueue()
         for name in ("a", "b", "c"):
             queue.put(name, 2)
@@ -25,7 +25,7 @@
         self.assertEqual(queue.pop(6), ["b", "c"])
         self.assertEqual(queue.pop(6), [])
 
-    def test_a_new_change_of_the_same_member_starts_over(self) -> None:
+    def test_new_change_of_a_member_resets_its_count(self) -> None:
         queue = GossipQueue()
         queue.put("a", 2)
         queue.pop(1)
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,4 +1,4 @@
-"""What is believed of a replica ends with its incarnation, whatever its id. Virtual time."""
+"""State about a replica ends with its incarnation, even if its id is reused. Virtual time."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class RestartUnderTheSameIdTest(unittest.TestCase):
-    """A replica that starts again under the id that it had holds nothing of before."""
+    """A replica that restarts under the same id inherits no state of its former incarnation."""
 
-    def test_nothing_that_was_believed_of_the_former_life_is_left(self) -> None:
+    def test_no_state_of_the_former_incarnation_remains(self) -> None:
         async def scenario(followed: Followed) -> None:
             followed.put_replica("i-1", born=1_000)
             await asyncio.sleep(0.2)
@@ -30,61 +30,63 @@
             state.record_failure(former, "refused", certain=True)
             followed.put_replica("i-1", born=2_000)
             await asyncio.sleep(0.2)
-            living = state.fleet.get("i-1")
-            assert living is not None
-            self.assertIsNot(living, former)
-            self.assertTrue(living.accepting)
-            self.assertEqual((living.loading_until_s, living.ejected_until_s), (0.0, 0.0))
+            current = state.fleet.get("i-1")
+            assert current is not None
+            self.assertIsNot(current, former)
+            self.assertTrue(current.accepting)
+            self.assertEqual((current.loading_until_s, current.ejected_until_s), (0.0, 0.0))
             self.assertEqual(
-                (living.running, living.queued_prefill_tokens, living.used_tokens), (0, 0, 0)
+                (current.running, current.queued_prefill_tokens, current.used_tokens), (0, 0, 0)
             )
             self.assertEqual(state.parts.holders(11), {})
             state.record_peer_cached_parts(former.order_hash, (13,))
-            self.assertNotIn(living.order_hash, state.parts.holders(13))
+            self.assertNotIn(current.order_hash, state.parts.holders(13))
 
         follow(scenario)
 
-    def test_a_late_heartbeat_of_the_former_life_changes_nothing(self) -> None:
+    def test_late_heartbeat_of_the_former_incarnation_is_ignored(self) -> None:
         async def scenario(followed: Followed) -> None:
             followed.put_replica("i-1", born=2_000)
             await asyncio.sleep(0.2)
-            living = followed.state.fleet.get("i-1")
+            current = followed.state.fleet.get("i-1")
             followed.put_replica("i-1", born=1_000, State="draining")
             await asyncio.sleep(0.2)
-            self.assertIs(followed.state.fleet.get("i-1"), living)
-            assert living is not None
-            self.assertTrue(living.accepting)
+            self.assertIs(followed.state.fleet.get("i-1"), current)
+            assert current is not None
+            self.assertTrue(current.accepting)
 
         follow(scenario)
 
-    def test_a_late_hold_for_the_former_life_holds_nothing_up(self) -> None:
+    def test_late_hold_for_the_former_incarnation_is_ignored(self) -> None:
         async def scenario(followed: Followed) -> None:
             followed.put_replica("i-1", born=2_000)
             await asyncio.sleep(0.2)
-            living = followed.state.fleet.get("i-1")
-            assert living is not None
-            news = WeightsExchange(followed.state, cast(PeerMessenger, None))
+            current = followed.state.fleet.get("i-1")
+            assert current is not None
+            exchange = WeightsExchange(followed.state, cast(PeerMessenger, None))
             former = member_hash("i-1@1000")
-            news.handle_weights(
+            exchange.handle_weights(
                 WeightsProgress("n2", 5, (WeightsEntry("i-1", former, "daka510000", 9, 60_000, 0),))
             )
-            self.assertEqual((living.loading_until_s, living.versions), (0.0, {"daka510000": 1}))
+            self.assertEqual((current.loading_until_s, current.versions), (0.0, {"daka510000": 1}))
 
         follow(scenario)
 
-    def test_a_hold_is_told_anew_for_a_new_life(self) -> None:
-        """Peers have dropped the former hold with the former life."""
+    def test_hold_is_announced_again_for_a_new_incarnation(self) -> None:
+        """Peers drop a hold together with the incarnation that it applies to."""
 
         async def scenario(followed: Followed) -> None:
-            told: list[WeightsEntry] = []
-            notes = WeightsAnnouncer(lambda fence, notes: told.extend(notes), followed.state.clock)
-            for born_ms in (1_000, 2_000):
-                followed.put_replica("i-1", born=born_ms)
+            sent: list[WeightsEntry] = []
+            announcer = WeightsAnnouncer(
+                lambda fence, entries: sent.extend(entries), followed.state.clock
+            )
+            for started_at_ms in (1_000, 2_000):
+                followed.put_replica("i-1", born=started_at_ms)
                 await asyncio.sleep(0.2)
-                living = followed.state.fleet.get("i-1")
-                assert living is not None
-                notes.hold(living, "daka510000", 5)
+                current = followed.state.fleet.get("i-1")
+                assert current is not None
+                announcer.hold(current, "daka510000", 5)
                 await asyncio.sleep(0.1)
-            self.assertEqual(len({note.incarnation for note in told if note.held_ms}), 2)
+            self.assertEqual(len({entry.incarnation for entry in sent if entry.held_ms}), 2)
 
         follow(scenario)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership under deaths, restarts, cuts and false suspicion, in virtual time."""
+"""Membership under crashes, restarts, partitions and false suspicion, in virtual time."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
             self.assertEqual(len(daemon.membership.members()), daemons)
         return region
 
-    def test_death_is_known_everywhere_and_a_restart_returns(self) -> None:
+    def test_crash_and_restart_become_known_everywhere(self) -> None:
         region = self._region()
         region.daemons[5].alive = False
         region.run(15.0)
@@ -29,7 +29,7 @@
         region.run(10.0)
         self.assertEqual(set(region.statuses_of("daemon-5")), {MemberStatus.ALIVE})
 
-    def test_zone_cut_for_a_minute_heals(self) -> None:
+    def test_membership_recovers_after_a_partition_of_a_minute(self) -> None:
         region = self._region()
         zone = [item for item in region.daemons if item.membership.own.zone == "zone-0"]
         region.cut_between({daemon.address for daemon in zone})
@@ -42,7 +42,7 @@
         for daemon in region.daemons:
             self.assertEqual(len(daemon.membership.members()), 24)
 
-    def test_configuration_reaches_all_and_survives_a_cut(self) -> None:
+    def test_configuration_reaches_all_daemons_after_a_partition(self) -> None:
         region = self._region()
         cut = region.daemons[7]
         region.cut_between({cut.address})
@@ -55,38 +55,40 @@
         self.assertIn(5, cut.installed_at_s)
 
 
-class DoubtTest(unittest.TestCase):
-    """What two daemons tell each other directly of the doubts that one has of the other."""
+class SuspicionTest(unittest.TestCase):
+    """A suspicion is sent to the suspected member directly, besides by gossip."""
 
     def setUp(self) -> None:
         self.own = Member("a", "z", "10.0.0.1:1", "", 7)
         self.other = Member("b", "z", "10.0.0.2:1", "", 7)
         self.membership = Membership(self.own, [], random.Random(1))
-        doubt = msgspec.structs.replace(self.other, status=MemberStatus.SUSPECT)
-        self.membership.receive(Probe(Member("c", "z", "10.0.0.3:1", "", 7), 1, (), (doubt,)), 0.0)
-        # What rides on every message is used up: only what is told on purpose is left.
+        suspicion = msgspec.structs.replace(self.other, status=MemberStatus.SUSPECT)
+        self.membership.receive(
+            Probe(Member("c", "z", "10.0.0.3:1", "", 7), 1, (), (suspicion,)), 0.0
+        )
+        # Drain the gossip queue, so that only direct suspicions remain in messages.
         while self.membership._pop_changes():
             pass
 
-    def test_a_member_that_is_doubted_is_told_when_it_probes(self) -> None:
+    def test_reply_to_a_suspected_member_carries_the_suspicion(self) -> None:
         (reply,) = self.membership.receive(Probe(self.other, 2, ()), 1.0)
-        told = {(item.member_id, item.status) for item in reply.message.changes}
-        self.assertIn(("b", MemberStatus.SUSPECT), told)
+        sent = {(item.member_id, item.status) for item in reply.message.changes}
+        self.assertIn(("b", MemberStatus.SUSPECT), sent)
 
-    def test_a_member_that_is_doubted_is_told_when_it_is_probed(self) -> None:
-        told = []
+    def test_probe_of_a_suspected_member_carries_the_suspicion(self) -> None:
+        sent = []
         for period in range(4):
             for outgoing in self.membership.tick(1.0 + 0.5 * period):
                 if outgoing.address == self.other.peer_address:
-                    told += [(item.member_id, item.status) for item in outgoing.message.changes]
-        self.assertIn(("b", MemberStatus.SUSPECT), told)
+                    sent += [(item.member_id, item.status) for item in outgoing.message.changes]
+        self.assertIn(("b", MemberStatus.SUSPECT), sent)
 
-    def test_many_changes_ride_on_larger_messages_while_doubts_are_among_them(self) -> None:
-        doubt = msgspec.structs.replace(self.other, status=MemberStatus.DEAD)
-        told = ProbeReply(Member("c", "z", "10.0.0.3:1", "", 7), 2, (), (doubt,))
-        self.membership.receive(told, 1.0)
+    def test_messages_carry_more_changes_while_the_backlog_holds_suspicions(self) -> None:
+        suspicion = msgspec.structs.replace(self.other, status=MemberStatus.DEAD)
+        reply = ProbeReply(Member("c", "z", "10.0.0.3:1", "", 7), 2, (), (suspicion,))
+        self.membership.receive(reply, 1.0)
         for number in range(40):
-            # Nobody is doubted any more, as when a whole fleet starts.
+            # From here on no change is a suspicion, as when a whole fleet starts.
             if number == 20:
                 self.assertEqual(len(self.membership._pop_changes()), BACKLOG_PIGGYBACK_CHANGES)
                 while self.membership._pop_changes():
@@ -97,22 +99,22 @@
 
 
 class RefutationTest(unittest.TestCase):
-    def test_living_member_refutes_its_death(self) -> None:
+    def test_live_member_refutes_its_reported_death(self) -> None:
         own = Member("a", "z", "10.0.0.1:1", "10.0.0.1:2", 7)
         other = Member("b", "z", "10.0.0.2:1", "10.0.0.2:2", 3)
         membership = Membership(own, (), random.Random(1))
-        doubted = msgspec.structs.replace(own, status=MemberStatus.DEAD)
-        replies = membership.receive(Probe(other, 1, (), (doubted,)), now_s=1.0)
+        reported_dead = msgspec.structs.replace(own, status=MemberStatus.DEAD)
+        replies = membership.receive(Probe(other, 1, (), (reported_dead,)), now_s=1.0)
         self.assertEqual(membership.own.incarnation, 8)
         self.assertEqual(replies[0].message.sender.status, MemberStatus.ALIVE)
 
-    def test_old_gossip_does_not_bring_the_dead_back(self) -> None:
+    def test_old_gossip_does_not_restore_a_dead_member(self) -> None:
         own = Member("a", "z", "10.0.0.1:1", "10.0.0.1:2", 7)
         other = Member("b", "z", "10.0.0.2:1", "10.0.0.2:2", 3)
-        gone = Member("c", "z", "10.0.0.3:1", "10.0.0.3:2", 5, MemberStatus.DEAD)
+        dead = Member("c", "z", "10.0.0.3:1", "10.0.0.3:2", 5, MemberStatus.DEAD)
         membership = Membership(own, (), random.Random(1))
-        membership.receive(Probe(other, 1, (), (gone,)), now_s=1.0)
-        stale = msgspec.structs.replace(gone, status=MemberStatus.ALIVE)
+        membership.receive(Probe(other, 1, (), (dead,)), now_s=1.0)
+        stale = msgspec.structs.replace(dead, status=MemberStatus.ALIVE)
         membership.receive(Probe(other, 2, (), (stale,)), now_s=2.0)
         found = membership.get("c")
         assert found is not None
--- a/tests/test_zone_hubs.py
+++ b/tests/test_zone_hubs.py
@@ -1,4 +1,7 @@
-"""A large fleet through its hubs: few messages, few calls, and everybody informed. Virtual time."""
+"""A large fleet with hubs: few messages and store calls, and every daemon up to date.
+
+Runs in virtual time.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +31,7 @@
 
 
 class HubsTest(unittest.TestCase):
-    def test_everybody_sees_the_same_two_hubs_of_each_zone(self) -> None:
+    def test_all_daemons_choose_the_same_two_hubs_in_each_zone(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
             views = [daemon.peers.view for daemon in fleet.daemons]
             self.assertEqual({len(view.members) for view in views}, {DAEMONS})
@@ -40,8 +43,8 @@
 
         in_large_fleet(scenario)
 
-    def test_the_daemons_with_the_best_links_are_hubs(self) -> None:
-        """News through a link of 5 Mbit/s came late, and placements went by old work."""
+    def test_daemons_with_the_fastest_links_are_hubs(self) -> None:
+        """Guards against stale load data, which a hub with a slow link forwards late."""
         members = [
             Member(f"n{number}", ZONES[number % 3], "", "", 1, link_mbps=5) for number in range(30)
         ]
@@ -52,18 +55,18 @@
             self.assertEqual(view.hubs[zone][1].link_mbps, 5)
         self.assertTrue(all(watcher.link_mbps == 100 for watcher in view.watchers))
 
-    def test_a_member_in_doubt_is_no_hub_while_another_answers(self) -> None:
+    def test_suspected_member_is_no_hub_while_others_are_alive(self) -> None:
         members = [Member(f"n{number}", "z", "", "", 1) for number in range(5)]
         first = FleetView.of(members[0], members).own_hubs[0]
-        doubted = [
+        suspected = [
             Member(item.member_id, "z", "", "", 1, MemberStatus.SUSPECT) if item is first else item
             for item in members
         ]
-        hubs = FleetView.of(doubted[0], doubted).own_hubs
+        hubs = FleetView.of(suspected[0], suspected).own_hubs
         self.assertNotIn(first.member_id, [hub.member_id for hub in hubs])
 
-    def test_a_view_is_made_anew_only_when_a_member_has_changed(self) -> None:
-        """Hubs sorted 195 members by a hash of each, twenty times a second."""
+    def test_view_is_rebuilt_only_when_a_member_has_changed(self) -> None:
+        """Guards against sorting all members for every message."""
 
         async def scenario(fleet: LargeFleet) -> None:
             views = [daemon.peers.view for daemon in fleet.daemons]
@@ -77,8 +80,8 @@
 
         in_large_fleet(scenario)
 
-    def test_work_is_added_up_when_it_is_read_and_not_at_each_message(self) -> None:
-        """Every daemon added up the whole fleet's work at each of twenty messages a second."""
+    def test_work_is_aggregated_when_it_is_read_and_not_for_each_message(self) -> None:
+        """Guards against summing the whole fleet's work for every message."""
 
         async def scenario(fleet: LargeFleet) -> None:
             busy, idle = fleet.followers()[:2]
@@ -86,61 +89,61 @@
             seen = idle.state.fleet.get("i-1")
             assert replica is not None and seen is not None
             with patch.object(
-                WorkExchange, "_add_up", autospec=True, side_effect=WorkExchange._aggregate
-            ) as add_up:
+                WorkExchange, "_aggregate", autospec=True, side_effect=WorkExchange._aggregate
+            ) as aggregate:
                 for number in range(40):
                     replica.record_sent(number, 100, busy.state.clock() + 9.0)
                     busy.state.on_work_sent()
                     await asyncio.sleep(0.05)
-            sums = [call for call in add_up.call_args_list if call.args[0]._state is idle.state]
-            self.assertLessEqual(len(sums), 2.0 / AGGREGATION_INTERVAL_S + 1)
+            calls = [call for call in aggregate.call_args_list if call.args[0]._state is idle.state]
+            self.assertLessEqual(len(calls), 2.0 / AGGREGATION_INTERVAL_S + 1)
             await asyncio.sleep(0.1)
             idle.state.replica_selector.candidates("s", set())
             self.assertEqual(seen.peer_in_flight, 40)
 
         in_large_fleet(scenario)
 
-    def test_only_hubs_ask_the_store(self) -> None:
+    def test_only_hubs_read_the_store(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
             before = {daemon.ip: daemon.store.reads for daemon in fleet.daemons}
             for version in range(10, 20):
                 fleet.put_configuration(version)
                 await asyncio.sleep(1.0)
                 self.assertEqual(fleet.versions(fleet.daemons), {version})
-            asked = [daemon.store.reads - before[daemon.ip] for daemon in fleet.followers()]
-            self.assertLessEqual(sum(asked), 3)
+            reads = [daemon.store.reads - before[daemon.ip] for daemon in fleet.followers()]
+            self.assertLessEqual(sum(reads), 3)
             ages_s = [daemon.age_s() for daemon in fleet.daemons]
             self.assertLess(max(ages_s), 1.9)
 
         in_large_fleet(scenario)
 
-    def test_two_watchers_ask_the_store_for_the_whole_fleet(self) -> None:
-        """Ten hubs in five zones watched: 0.30 of the worth of a small fleet went into calls."""
+    def test_two_watchers_read_the_store_for_the_whole_fleet(self) -> None:
+        """Guards against store calls that grow with the number of zones."""
 
         async def scenario(fleet: LargeFleet) -> None:
             before = {daemon.ip: daemon.store.reads for daemon in fleet.daemons}
             oldest_s = await fleet.oldest_proof_s(range(10, 20), fleet.daemons)
-            asked = {daemon.ip: daemon.store.reads - before[daemon.ip] for daemon in fleet.daemons}
+            reads = {daemon.ip: daemon.store.reads - before[daemon.ip] for daemon in fleet.daemons}
             watchers = [daemon.ip for daemon in fleet.daemons if daemon.peers.view.is_watcher]
             self.assertEqual(len(watchers), WATCHERS_PER_FLEET)
-            self.assertLessEqual(sum(asked[ip] for ip in watchers), 2 * 40)
-            self.assertLessEqual(sum(asked.values()) - sum(asked[ip] for ip in watchers), 6)
+            self.assertLessEqual(sum(reads[ip] for ip in watchers), 2 * 40)
+            self.assertLessEqual(sum(reads.values()) - sum(reads[ip] for ip in watchers), 6)
             self.assertLess(oldest_s, 1.9)
 
         in_large_fleet(scenario)
 
-    def test_a_change_reaches_every_daemon_through_the_hubs_without_being_asked_for(self) -> None:
+    def test_hubs_push_a_change_to_every_daemon(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
-            asked = {daemon.ip: daemon.store.reads for daemon in fleet.followers()}
+            before = {daemon.ip: daemon.store.reads for daemon in fleet.followers()}
             fleet.put_configuration(10)
             await asyncio.sleep(0.1)
             self.assertEqual(fleet.versions(fleet.daemons), {10})
             for daemon in fleet.followers():
-                self.assertEqual(daemon.store.reads, asked[daemon.ip])
+                self.assertEqual(daemon.store.reads, before[daemon.ip])
 
         in_large_fleet(scenario)
 
-    def test_watchers_are_of_different_zones_and_not_in_doubt(self) -> None:
+    def test_watchers_are_in_different_zones_and_alive(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
             view = fleet.daemons[0].peers.view
             self.assertEqual(len({watcher.zone for watcher in view.watchers}), WATCHERS_PER_FLEET)
@@ -156,7 +159,7 @@
 
         in_large_fleet(scenario)
 
-    def test_hubs_ask_the_store_when_both_watchers_are_turned_away(self) -> None:
+    def test_other_hubs_read_the_store_when_both_watchers_cannot(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
             for daemon in fleet.daemons:
                 daemon.store.cut = daemon.peers.view.is_watcher
@@ -171,12 +174,12 @@
             await asyncio.sleep(1.5)
             self.assertEqual(fleet.versions(fleet.daemons), {19})
             self.assertLess(oldest_s, 2.5)
-            asked = sum(daemon.store.reads for daemon in fleet.followers()) - before
-            self.assertLess(asked, len(fleet.followers()) * 10)
+            reads = sum(daemon.store.reads for daemon in fleet.followers()) - before
+            self.assertLess(reads, len(fleet.followers()) * 10)
 
         in_large_fleet(scenario)
 
-    def test_both_watchers_frozen_leave_the_rest_informed(self) -> None:
+    def test_other_daemons_stay_up_to_date_when_both_watchers_freeze(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
             frozen = [daemon for daemon in fleet.daemons if daemon.peers.view.is_watcher]
             silent = {daemon.ip for daemon in frozen}
@@ -193,24 +196,24 @@
 
         in_large_fleet(scenario)
 
-    def test_a_third_of_the_daemons_cut_off_leaves_the_rest_informed_and_heals(self) -> None:
+    def test_fleet_stays_up_to_date_and_recovers_from_a_partitioned_third(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
-            away = fleet.daemons[::3]
-            away_ips = {daemon.ip for daemon in away}
+            isolated = fleet.daemons[::3]
+            isolated_ips = {daemon.ip for daemon in isolated}
             fleet.network.drop = lambda sender, receiver: (
-                (sender in away_ips) != (receiver in away_ips)
+                (sender in isolated_ips) != (receiver in isolated_ips)
             )
-            for daemon in away:
+            for daemon in isolated:
                 daemon.store.cut = True
-            rest = [daemon for daemon in fleet.daemons if daemon.ip not in away_ips]
+            rest = [daemon for daemon in fleet.daemons if daemon.ip not in isolated_ips]
             for version in range(10, 20):
                 fleet.put_configuration(version)
                 await asyncio.sleep(1.0)
                 self.assertTrue(all(daemon.state.ready for daemon in rest))
             self.assertEqual(fleet.versions(rest), {19})
-            self.assertFalse(any(daemon.state.ready for daemon in away))
+            self.assertFalse(any(daemon.state.ready for daemon in isolated))
             fleet.network.drop = lambda sender, receiver: False
-            for daemon in away:
+            for daemon in isolated:
                 daemon.store.cut = False
             await asyncio.sleep(2.5)
             self.assertEqual(fleet.versions(fleet.daemons), {19})
@@ -221,10 +224,10 @@
 
         in_large_fleet(scenario)
 
-    def test_lost_updates_are_asked_for_again(self) -> None:
+    def test_lost_updates_are_requested_again(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
-            turn = iter(range(1_000_000))
-            fleet.network.drop = lambda sender, receiver: next(turn) % 3 == 0
+            sent = iter(range(1_000_000))
+            fleet.network.drop = lambda sender, receiver: next(sent) % 3 == 0
             for version in range(10, 16):
                 fleet.put_configuration(version)
                 fleet.put_replica(f"i-{version}")
@@ -237,7 +240,7 @@
 
         in_large_fleet(scenario)
 
-    def test_a_zone_that_loses_both_hubs_stays_informed(self) -> None:
+    def test_zone_that_loses_both_hubs_stays_up_to_date(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
             for hub in fleet.hubs():
                 if hub.state.settings.zone == "z2":
@@ -249,7 +252,7 @@
 
         in_large_fleet(scenario)
 
-    def test_hubs_cut_from_the_store_learn_from_other_zones(self) -> None:
+    def test_hubs_without_the_store_learn_documents_from_other_zones(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
             for daemon in fleet.daemons:
                 daemon.store.cut = daemon.state.settings.zone == "z3"
@@ -263,7 +266,7 @@
 
         in_large_fleet(scenario)
 
-    def test_work_and_kept_parts_reach_everybody_in_few_messages(self) -> None:
+    def test_work_and_cached_parts_reach_every_daemon_in_few_messages(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
             sent = {daemon.ip: daemon.peers.sent_messages for daemon in fleet.daemons}
             for number, daemon in enumerate(fleet.daemons):
@@ -285,7 +288,7 @@
 
         in_large_fleet(scenario)
 
-    def test_new_work_is_known_everywhere_within_a_fifth_of_a_second(self) -> None:
+    def test_new_work_is_known_everywhere_within_200_ms(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
             busy = fleet.followers()[0]
             replica = busy.state.fleet.get("i-2")
@@ -307,7 +310,7 @@
 
         in_large_fleet(scenario)
 
-    def test_the_second_hub_speaks_when_the_first_is_gone(self) -> None:
+    def test_second_hub_takes_over_when_the_first_crashes(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
             first_id = fleet.daemons[0].peers.view.hubs["z1"][0].member_id
             first = next(item for item in fleet.daemons if item.state.settings.node_id == first_id)
@@ -325,7 +328,7 @@
 
         in_large_fleet(scenario)
 
-    def test_rollout_notes_reach_everybody_through_the_hubs(self) -> None:
+    def test_weight_entries_reach_every_daemon_through_the_hubs(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
             leader = fleet.followers()[0]
             sent = leader.peers.sent_messages
@@ -342,7 +345,7 @@
 
         in_large_fleet(scenario)
 
-    def test_one_leader_among_the_hubs(self) -> None:
+    def test_fleet_has_one_leader_and_replaces_a_crashed_one(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
             fences = [daemon.leadership.fence for daemon in fleet.daemons]
             self.assertEqual(sum(1 for fence in fences if fence), 1)
@@ -356,8 +359,8 @@
 
 
 class ColdStartTest(unittest.TestCase):
-    def test_a_whole_fleet_that_starts_at_once_knows_itself_within_seconds(self) -> None:
-        """After 16 s each of 195 daemons knew 180, and those that no hub knew asked the store."""
+    def test_fleet_that_starts_at_once_knows_its_members_within_seconds(self) -> None:
+        """Guards against slow discovery, in which daemons unknown to the hubs read the store."""
 
         async def main() -> None:
             network, store = Network(), MemoryStore()
@@ -372,8 +375,8 @@
         run_virtually(main())
 
 
-class CutDaemonTest(unittest.TestCase):
-    def test_a_daemon_cut_from_the_store_learns_documents_from_peers(self) -> None:
+class StorePartitionTest(unittest.TestCase):
+    def test_daemon_without_the_store_learns_documents_from_peers(self) -> None:
         async def main() -> None:
             network, store = Network(), MemoryStore()
             store.put("op/config", json.dumps({**CONFIGURATION, "Version": 3}).encode())
@@ -392,7 +395,7 @@
 
         run_virtually(main())
 
-    def test_a_daemon_that_starts_cut_from_the_store_serves(self) -> None:
+    def test_daemon_that_starts_without_the_store_becomes_ready(self) -> None:
         async def main() -> None:
             network, store = Network(), MemoryStore()
             store.put("op/config", json.dumps({**CONFIGURATION, "Version": 3}).encode())
@@ -409,7 +412,7 @@
 
 
 class DocumentTableTest(unittest.TestCase):
-    def test_an_older_entry_is_not_taken(self) -> None:
+    def test_older_entry_is_ignored(self) -> None:
         table = DocumentTable()
         self.assertTrue(table.apply(TableItem("a", 5, b"new")))
         self.assertFalse(table.apply(TableItem("a", 4, b"old")))
@@ -420,7 +423,7 @@
             (TableItem("a", 6, None),),
         )
 
-    def test_a_peer_behind_what_is_forgotten_gets_everything(self) -> None:
+    def test_peer_that_lags_behind_the_tombstones_gets_a_complete_update(self) -> None:
         table = DocumentTable()
         table.apply(TableItem("kept", 1, b"x"))
         for number in range(MAX_REMOVED + 1):
@@ -430,19 +433,19 @@
         self.assertEqual([item.key for item in update.items], ["kept"])
         self.assertFalse(table.update_after(StorePosition(0, 2), StorePosition(0, 3_000)).complete)
 
-    def test_a_large_update_comes_in_parts_and_a_lost_part_costs_all(self) -> None:
+    def test_large_update_is_split_into_parts_and_reassembled(self) -> None:
         values = [
             bytes((number * 31 + index * 17) % 251 for index in range(997)) for number in range(40)
         ]
         items = tuple(TableItem(f"k{number}", number, value) for number, value in enumerate(values))
         update = TableUpdate(StorePosition(), StorePosition(0, 50), False, False, items)
         parts = [part for part in split_update("n1", update) if isinstance(part, DocumentPart)]
-        collector = UpdateAssembler()
-        got = [collector.add(part) for part in parts]
-        self.assertEqual(got[-1], update)
+        assembler = UpdateAssembler()
+        results = [assembler.add(part) for part in parts]
+        self.assertEqual(results[-1], update)
         self.assertTrue(all(len(part.data) <= MAX_PART_BYTES for part in parts))
 
-    def test_nonsense_is_refused(self) -> None:
+    def test_malformed_part_is_refused(self) -> None:
         update = TableUpdate(
             StorePosition(), StorePosition(0, 9), False, False, (TableItem("a", 1, b"x"),)
         )
--- a/tests/test_zone_loss.py
+++ b/tests/test_zone_loss.py
@@ -1,4 +1,4 @@
-"""A zone that is cut off while callers still reach it: found out once, by all of its daemons."""
+"""A zone that is partitioned from the others while callers can still reach it."""
 
 from __future__ import annotations
 
@@ -29,48 +29,48 @@
 )
 
 
-class ZoneReachTest(unittest.TestCase):
+class ZoneReachabilityTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.reach = ZoneReachability("z1")
+        self.reachability = ZoneReachability("z1")
         for zone in ("z1", "z2", "z3"):
-            self.reach.record_message(zone, 10.0)
+            self.reachability.record_message(zone, 10.0)
 
-    def fail(self, zone: str, count: int, now_s: float) -> None:  # type: ignore[override]
+    def fail_replicas(self, zone: str, count: int, now_s: float) -> None:
         for number in range(count):
-            self.reach.record_failure(zone, number, now_s)
+            self.reachability.record_failure(zone, number, now_s)
 
-    def test_silence_and_failures_together_make_a_zone_unreachable(self) -> None:
+    def test_silent_zone_with_failed_replicas_is_unreachable(self) -> None:
         late_s = 10.0 + SILENCE_TIMEOUT_S + 0.1
-        self.fail("z2", MIN_FAILED_REPLICAS, late_s)
-        self.assertEqual(self.reach.detect_unreachable(late_s), {"z2"})
-
-    def test_daemons_that_were_killed_leave_their_zones_replicas_in_use(self) -> None:
-        self.assertEqual(self.reach.detect_unreachable(60.0), frozenset())
-
-    def test_replicas_that_fail_in_a_zone_that_speaks_say_nothing_of_it(self) -> None:
-        self.fail("z2", 9, 10.1)
-        self.assertEqual(self.reach.detect_unreachable(10.2), frozenset())
-
-    def test_one_word_makes_a_zone_reachable_again(self) -> None:
-        self.fail("z2", MIN_FAILED_REPLICAS, 12.0)
-        self.assertTrue(self.reach.detect_unreachable(12.0))
-        self.reach.record_message("z2", 12.1)
-        self.assertFalse(self.reach.detect_unreachable(14.0))
-
-    def test_a_hubs_word_holds_for_a_while_only(self) -> None:
-        self.assertEqual(self.reach.adopt(("z2",), 10.0, is_isolated=True), {"z2"})
-        self.assertEqual(self.reach.adopt(("z2",), 10.5, is_isolated=True), frozenset())
-        self.assertTrue(self.reach.is_isolated(10.6))
-        self.assertEqual(self.reach.unreachable(10.5 + HUB_REPORT_TTL_S), frozenset())
-        self.assertFalse(self.reach.is_isolated(10.5 + HUB_REPORT_TTL_S))
-
-    def test_a_zone_that_knows_no_other_is_not_cut_off(self) -> None:
+        self.fail_replicas("z2", MIN_FAILED_REPLICAS, late_s)
+        self.assertEqual(self.reachability.detect_unreachable(late_s), {"z2"})
+
+    def test_silent_zone_without_failed_replicas_stays_in_use(self) -> None:
+        self.assertEqual(self.reachability.detect_unreachable(60.0), frozenset())
+
+    def test_failed_replicas_do_not_make_a_zone_that_sends_unreachable(self) -> None:
+        self.fail_replicas("z2", 9, 10.1)
+        self.assertEqual(self.reachability.detect_unreachable(10.2), frozenset())
+
+    def test_one_message_makes_a_zone_reachable_again(self) -> None:
+        self.fail_replicas("z2", MIN_FAILED_REPLICAS, 12.0)
+        self.assertTrue(self.reachability.detect_unreachable(12.0))
+        self.reachability.record_message("z2", 12.1)
+        self.assertFalse(self.reachability.detect_unreachable(14.0))
+
+    def test_hub_report_expires(self) -> None:
+        self.assertEqual(self.reachability.adopt(("z2",), 10.0, is_isolated=True), {"z2"})
+        self.assertEqual(self.reachability.adopt(("z2",), 10.5, is_isolated=True), frozenset())
+        self.assertTrue(self.reachability.is_isolated(10.6))
+        self.assertEqual(self.reachability.unreachable(10.5 + HUB_REPORT_TTL_S), frozenset())
+        self.assertFalse(self.reachability.is_isolated(10.5 + HUB_REPORT_TTL_S))
+
+    def test_zone_that_knows_no_other_is_not_isolated(self) -> None:
         self.assertFalse(ZoneReachability("z1").detect_isolated(99.0, 1.0))
-        self.assertTrue(self.reach.detect_isolated(99.0, 1.0))
+        self.assertTrue(self.reachability.detect_isolated(99.0, 1.0))
 
 
-def cut_zone(fleet: LargeFleet, zone: str) -> list[Daemon]:
-    """Cut a zone off from the other zones and from the store; return its daemons."""
+def partition_zone(fleet: LargeFleet, zone: str) -> list[Daemon]:
+    """Partition a zone from the other zones and from the store; return its daemons."""
     inside = [daemon for daemon in fleet.daemons if daemon.state.settings.zone == zone]
     ips = {daemon.ip for daemon in inside}
     fleet.network.drop = lambda sender, receiver: (sender in ips) != (receiver in ips)
@@ -86,14 +86,14 @@
 
 
 def fail_replicas(daemons: list[Daemon], zone: str) -> None:
-    """Two of the daemons find the zone's replicas silent."""
+    """Let two of the daemons record that the zone's replicas are silent."""
     for daemon in daemons[:2]:
         for replica in daemon.state.fleet.replicas():
             if replica.listing.zone == zone:
                 daemon.state.record_failure(replica, "silent", certain=True)
 
 
-class ZoneCutTest(unittest.TestCase):
+class ZonePartitionTest(unittest.TestCase):
     def in_fleet(self, scenario: Callable[[LargeFleet], object]) -> None:
         async def with_replicas(fleet: LargeFleet) -> None:
             for number in range(6):
@@ -106,9 +106,9 @@
 
         in_large_fleet(with_replicas)
 
-    def test_all_daemons_know_it_after_two_failures_and_forget_it_at_its_end(self) -> None:
+    def test_all_daemons_avoid_unreachable_zones_until_the_partition_ends(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
-            inside = cut_zone(fleet, "z2")
+            inside = partition_zone(fleet, "z2")
             outside = [daemon for daemon in fleet.daemons if daemon not in inside]
             await asyncio.sleep(0.8)
             fail_replicas(inside, "z1")
@@ -137,11 +137,11 @@
 
         self.in_fleet(scenario)
 
-    def test_the_cut_zone_asks_for_no_more_callers_while_it_still_serves(self) -> None:
-        """Entries need some seconds to notice, and keys can be checked for four."""
+    def test_partitioned_zone_reports_not_ready_before_its_keys_expire(self) -> None:
+        """Callers' entry points need some seconds to react, during which requests are served."""
 
         async def scenario(fleet: LargeFleet) -> None:
-            inside = cut_zone(fleet, "z2")
+            inside = partition_zone(fleet, "z2")
             outside = [daemon for daemon in fleet.daemons if daemon not in inside]
             await asyncio.sleep(2.3)
             self.assertFalse(any(daemon.state.ready for daemon in inside))
@@ -153,7 +153,7 @@
 
         self.in_fleet(scenario)
 
-    def test_a_store_that_is_down_for_all_sends_no_callers_away_early(self) -> None:
+    def test_daemons_stay_ready_when_the_store_is_down_for_all(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
             fleet.store.down = True
             await asyncio.sleep(3.0)
@@ -162,7 +162,7 @@
         self.in_fleet(scenario)
 
 
-class AnswersBeyondTheCutTest(unittest.IsolatedAsyncioTestCase):
+class OpenAnswersOfLostZoneTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.silent = ScriptedReplica(never_answering)
         self.other = ScriptedReplica(self.stream)
@@ -181,7 +181,9 @@
         await writer.drain()
         return True
 
-    async def ask(self, *, resumable: bool) -> tuple[RelayUnderTest, asyncio.StreamReader]:
+    async def relay_to_silent_replica(
+        self, *, resumable: bool
+    ) -> tuple[RelayUnderTest, asyncio.StreamReader]:
         relay = RelayUnderTest(kind=RouteKind.STREAMING, resumable=resumable, max_attempts=2)
         relay.configure()
         relay.add(self.silent, "i-far", zone="z2")
@@ -196,30 +198,28 @@
         await asyncio.sleep(0.4)
         return relay, reader
 
-    async def test_a_stream_that_may_be_resumed_goes_on_elsewhere_when_its_zone_is_lost(
-        self,
-    ) -> None:
-        """It waited for the connection's own end, some seconds."""
-        relay, reader = await self.ask(resumable=True)
+    async def test_resumable_stream_moves_at_once_when_its_zone_is_lost(self) -> None:
+        """Guards against waiting for the connection to time out."""
+        relay, reader = await self.relay_to_silent_replica(resumable=True)
         relay.state.zone_outage_handler.update_reachability(("z2",), is_isolated=False)
         answer = await asyncio.wait_for(read_answer(reader), HANG_TIMEOUT_S)
         self.assertEqual(answer.status, 200)
         self.assertEqual(len(self.other.received), 1)
 
-    async def test_one_that_may_run_once_only_is_left_where_it_is(self) -> None:
-        relay, _ = await self.ask(resumable=False)
+    async def test_request_that_may_run_only_once_stays_on_its_replica(self) -> None:
+        relay, _ = await self.relay_to_silent_replica(resumable=False)
         relay.state.zone_outage_handler.update_reachability(("z2",), is_isolated=False)
         await asyncio.sleep(0.1)
         self.assertEqual(self.other.received, [])
         self.assertFalse(self.silent.closed_by_router.is_set())
 
-    async def test_failures_of_other_kinds_end_no_answer(self) -> None:
-        """An answer may have to wait for long at a sound replica: its silence is no proof."""
-        relay, _ = await self.ask(resumable=True)
+    async def test_failures_of_other_kinds_abort_no_answer(self) -> None:
+        """A long wait for an answer does not show that its replica has failed."""
+        relay, _ = await self.relay_to_silent_replica(resumable=True)
         replica = relay.state.fleet.get("i-far")
         assert replica is not None
-        for accuser in ("n8", "n9"):
-            relay.state.record_failure_report(replica.order_hash, accuser)
+        for reporter in ("n8", "n9"):
+            relay.state.record_failure_report(replica.order_hash, reporter)
         relay.state.record_failure(replica, "did not come up", certain=True)
         await asyncio.sleep(0.65)
         relay.service.sweep(relay.state.clock())
@@ -227,9 +227,9 @@
         self.assertEqual(self.other.received, [])
         self.assertFalse(self.silent.closed_by_router.is_set())
 
-    async def test_a_daemon_that_stops_moves_no_answer(self) -> None:
-        """A stream was moved in a planned stop, the next replica refused, and it was cut."""
-        relay, _ = await self.ask(resumable=True)
+    async def test_stopping_daemon_moves_no_answer(self) -> None:
+        """Guards against a stream that is moved in a planned stop, refused and truncated."""
+        relay, _ = await self.relay_to_silent_replica(resumable=True)
         relay.state.stopping = True
         replica = relay.state.fleet.get("i-far")
         assert replica is not None
@@ -240,8 +240,8 @@
         self.assertEqual(self.other.received, [])
         self.assertFalse(self.silent.closed_by_router.is_set())
 
-    async def test_a_replica_that_falls_silent_loses_its_other_answers_too(self) -> None:
-        relay, reader = await self.ask(resumable=True)
+    async def test_open_answers_of_a_replica_that_falls_silent_are_moved(self) -> None:
+        relay, reader = await self.relay_to_silent_replica(resumable=True)
         replica = relay.state.fleet.get("i-far")
         assert replica is not None
         relay.state.on_unresponsive(replica)
