--- a/tests/large_fleet.py
+++ b/tests/large_fleet.py
@@ -66,7 +66,7 @@
         self.daemons.remove(daemon)
 
 
-def in_large_fleet(scenario: Callable[[LargeFleet], Awaitable[None]]) -> None:
+def run_in_large_fleet(scenario: Callable[[LargeFleet], Awaitable[None]]) -> None:
     async def main() -> None:
         fleet = LargeFleet()
         await asyncio.sleep(STABILIZATION_S)
--- a/tests/test_zone_hubs.py
+++ b/tests/test_zone_hubs.py
@@ -10,7 +10,7 @@
 import unittest
 from unittest.mock import patch
 
-from tests.large_fleet import DAEMONS, ZONES, LargeFleet, in_large_fleet
+from tests.large_fleet import DAEMONS, ZONES, LargeFleet, run_in_large_fleet
 from tests.memory_store import MemoryStore
 from tests.peer_support import Daemon, Network
 from tests.test_platform_documents import CONFIGURATION
@@ -41,7 +41,7 @@
             self.assertEqual(len(chosen), len(ZONES))
             self.assertEqual(len(fleet.hubs()), 2 * len(ZONES))
 
-        in_large_fleet(scenario)
+        run_in_large_fleet(scenario)
 
     def test_daemons_with_the_fastest_links_are_hubs(self) -> None:
         """Guards against stale load data, which a hub with a slow link forwards late."""
@@ -78,7 +78,7 @@
             for daemon in fleet.daemons:
                 self.assertEqual(len(daemon.peers.view.members), DAEMONS - 1)
 
-        in_large_fleet(scenario)
+        run_in_large_fleet(scenario)
 
     def test_work_is_aggregated_when_it_is_read_and_not_for_each_message(self) -> None:
         """Guards against summing the whole fleet's work for every message."""
@@ -101,7 +101,7 @@
             idle.state.replica_selector.candidates("s", set())
             self.assertEqual(seen.peer_in_flight, 40)
 
-        in_large_fleet(scenario)
+        run_in_large_fleet(scenario)
 
     def test_only_hubs_read_the_store(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
@@ -115,7 +115,7 @@
             ages_s = [daemon.age_s() for daemon in fleet.daemons]
             self.assertLess(max(ages_s), 1.9)
 
-        in_large_fleet(scenario)
+        run_in_large_fleet(scenario)
 
     def test_two_watchers_read_the_store_for_the_whole_fleet(self) -> None:
         """Guards against store calls that grow with the number of zones."""
@@ -130,7 +130,7 @@
             self.assertLessEqual(sum(reads.values()) - sum(reads[ip] for ip in watchers), 6)
             self.assertLess(oldest_s, 1.9)
 
-        in_large_fleet(scenario)
+        run_in_large_fleet(scenario)
 
     def test_hubs_push_a_change_to_every_daemon(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
@@ -141,7 +141,7 @@
             for daemon in fleet.followers():
                 self.assertEqual(daemon.store.reads, before[daemon.ip])
 
-        in_large_fleet(scenario)
+        run_in_large_fleet(scenario)
 
     def test_watchers_are_in_different_zones_and_alive(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
@@ -157,7 +157,7 @@
             for daemon in fleet.daemons:
                 self.assertNotIn(view.watchers[0], daemon.peers.view.watchers)
 
-        in_large_fleet(scenario)
+        run_in_large_fleet(scenario)
 
     def test_other_hubs_read_the_store_when_both_watchers_cannot(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
@@ -177,7 +177,7 @@
             reads = sum(daemon.store.reads for daemon in fleet.followers()) - before
             self.assertLess(reads, len(fleet.followers()) * 10)
 
-        in_large_fleet(scenario)
+        run_in_large_fleet(scenario)
 
     def test_other_daemons_stay_up_to_date_when_both_watchers_freeze(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
@@ -194,7 +194,7 @@
             self.assertFalse(silent & {watcher_ip(daemon) for daemon in rest})
             self.assertEqual(sum(1 for daemon in rest if daemon.leadership.fence), 1)
 
-        in_large_fleet(scenario)
+        run_in_large_fleet(scenario)
 
     def test_fleet_stays_up_to_date_and_recovers_from_a_partitioned_third(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
@@ -222,7 +222,7 @@
             views = {len(daemon.peers.view.members) for daemon in fleet.daemons}
             self.assertEqual(views, {DAEMONS})
 
-        in_large_fleet(scenario)
+        run_in_large_fleet(scenario)
 
     def test_lost_updates_are_requested_again(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
@@ -238,7 +238,7 @@
                 known = {replica.replica_id for replica in daemon.state.fleet.replicas()}
                 self.assertEqual(known, {"i-1", "i-2", "i-15"})
 
-        in_large_fleet(scenario)
+        run_in_large_fleet(scenario)
 
     def test_zone_that_loses_both_hubs_stays_up_to_date(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
@@ -250,7 +250,7 @@
             self.assertEqual(fleet.versions(fleet.daemons), {19})
             self.assertLess(oldest_s, 1.9)
 
-        in_large_fleet(scenario)
+        run_in_large_fleet(scenario)
 
     def test_hubs_without_the_store_learn_documents_from_other_zones(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
@@ -264,7 +264,7 @@
                 await asyncio.sleep(0.1)
                 self.assertTrue(all(daemon.state.ready for daemon in fleet.daemons))
 
-        in_large_fleet(scenario)
+        run_in_large_fleet(scenario)
 
     def test_work_and_cached_parts_reach_every_daemon_in_few_messages(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
@@ -286,7 +286,7 @@
             for daemon in fleet.followers():
                 self.assertLess(daemon.peers.sent_messages - sent[daemon.ip], 2.0 * 20)
 
-        in_large_fleet(scenario)
+        run_in_large_fleet(scenario)
 
     def test_new_work_is_known_everywhere_within_200_ms(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
@@ -308,7 +308,7 @@
                 assert seen is not None
                 self.assertEqual((seen.queued_prefill_tokens, seen.running), (0, 0))
 
-        in_large_fleet(scenario)
+        run_in_large_fleet(scenario)
 
     def test_second_hub_takes_over_when_the_first_crashes(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
@@ -326,7 +326,7 @@
                 expected = 0 if daemon is busy else 1
                 self.assertEqual(seen.peer_in_flight, expected, daemon.state.settings.node_id)
 
-        in_large_fleet(scenario)
+        run_in_large_fleet(scenario)
 
     def test_weight_entries_reach_every_daemon_through_the_hubs(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
@@ -343,7 +343,7 @@
                 self.assertEqual(replica.versions["m"], 7)
                 self.assertGreater(replica.loading_until_s, daemon.state.clock())
 
-        in_large_fleet(scenario)
+        run_in_large_fleet(scenario)
 
     def test_fleet_has_one_leader_and_replaces_a_crashed_one(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
@@ -355,7 +355,7 @@
             fences = [daemon.leadership.fence for daemon in fleet.daemons]
             self.assertEqual(sum(1 for fence in fences if fence), 1)
 
-        in_large_fleet(scenario)
+        run_in_large_fleet(scenario)
 
 
 class ColdStartTest(unittest.TestCase):
--- a/tests/test_zone_loss.py
+++ b/tests/test_zone_loss.py
@@ -6,7 +6,7 @@
 import unittest
 from collections.abc import Callable
 
-from tests.large_fleet import LargeFleet, in_large_fleet
+from tests.large_fleet import LargeFleet, run_in_large_fleet
 from tests.peer_support import Daemon
 from tests.relay_support import (
     HANG_TIMEOUT_S,
@@ -104,7 +104,7 @@
             await asyncio.sleep(1.0)
             await scenario(fleet)  # type: ignore[misc]
 
-        in_large_fleet(with_replicas)
+        run_in_large_fleet(with_replicas)
 
     def test_all_daemons_avoid_unreachable_zones_until_the_partition_ends(self) -> None:
         async def scenario(fleet: LargeFleet) -> None:
--- a/winchfork/core/gossip_queue.py
+++ b/winchfork/core/gossip_queue.py
@@ -1,4 +1,4 @@
-"""Queue of changes to spread by gossip, each with the next few messages, least-sent first."""
+"""Queue of changes to spread by gossip; each is sent with several messages, least-sent first."""
 
 from __future__ import annotations
 
--- a/winchfork/core/membership.py
+++ b/winchfork/core/membership.py
@@ -195,7 +195,7 @@
         ]
 
     def _suspicion_of(self, member: Member) -> tuple[Member, ...]:
-        """Return a member's record if it is not alive here, so that the member can refute it.
+        """Return a member's record if its status here is not ALIVE, for the member to refute.
 
         It is sent to the member directly, since gossip alone may take long to deliver it.
         """
@@ -339,10 +339,10 @@
         self._to_spread.put(record.member_id, SPREAD_FACTOR * rounds)
 
     def _has_suspicion_backlog(self) -> bool:
-        """Whether more changes are queued than fit a message, some of them suspicions.
+        """Whether more than a message's changes are queued, with suspicions or refutations.
 
-        Refutations count as well. A backlog without either, as at the start of a whole fleet, does
-        not count: daemons that lack members receive records then.
+        At the start of a whole fleet many changes are queued without these; that does not count,
+        since daemons that lack members receive records then.
         """
         if len(self._to_spread) <= PIGGYBACK_CHANGES:
             self._recently_suspected.clear()
--- a/winchfork/core/sliding_retry_budget.py
+++ b/winchfork/core/sliding_retry_budget.py
@@ -31,7 +31,7 @@
         self._allowance = allowance
         self._started_at_s = started_at_s
         self._requests: dict[str, deque[float]] = {}
-        self._repeats: dict[str, deque[float]] = {}
+        self._retries: dict[str, deque[float]] = {}
 
     def record_request(self, service: str, now_s: float) -> None:
         """Count a caller's request."""
@@ -39,25 +39,25 @@
 
     def record_repeat(self, service: str, now_s: float) -> None:
         """Count a retry that was sent regardless of the budget."""
-        self._trimmed(self._repeats, service, now_s).append(now_s)
+        self._trimmed(self._retries, service, now_s).append(now_s)
 
     def remaining(self, service: str, daemons: int, now_s: float) -> float:
         """Return how many retries this daemon may still send to ``service`` now."""
         requests = len(self._trimmed(self._requests, service, now_s))
-        repeats = len(self._trimmed(self._repeats, service, now_s))
+        retries = len(self._trimmed(self._retries, service, now_s))
         allowed = self._allowance.ratio * requests
         if now_s - self._started_at_s >= self._allowance.window_s:
             allowed += self._allowance.slack / max(1, daemons)
-        return SAFETY_SHARE * allowed - repeats
+        return SAFETY_SHARE * allowed - retries
 
     def try_spend(self, service: str, daemons: int, now_s: float, reserve: float = 0.0) -> bool:
         """Spend one retry; False when this daemon's share, less the ``reserve``, is exhausted.
 
         ``reserve`` is the fraction of the share that is left unused.
         """
-        repeats = len(self._trimmed(self._repeats, service, now_s))
+        retries = len(self._trimmed(self._retries, service, now_s))
         remaining = self.remaining(service, daemons, now_s)
-        if remaining - reserve * (remaining + repeats) < 1.0:
+        if remaining - reserve * (remaining + retries) < 1.0:
             return False
         self.record_repeat(service, now_s)
         return True
--- a/winchfork/core/store_outage.py
+++ b/winchfork/core/store_outage.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-#: A store that is reachable answers within this time: the longest watch plus its call's timeout.
+#: A daemon has lost the store after this long without an answer: longest watch plus call timeout.
 MAX_WATCH_S = 2.5
 #: A later reply is ignored, since the peer may have stalled and not tried to reach the store.
 MAX_REPLY_DELAY_S = 0.5
--- a/winchfork/core/zone_hubs.py
+++ b/winchfork/core/zone_hubs.py
@@ -213,6 +213,7 @@
 
 
 def _order(member: Member, duty: str) -> _Order:
+    # ``duty`` is hashed: changing it changes which members are chosen.
     not_alive = member.status is not MemberStatus.ALIVE
     score = rendezvous_score(duty, member.member_id)
     return not_alive, -member.link_mbps, -score, member.member_id
