--- a/winchfork/router/__init__.py
+++ b/winchfork/router/__init__.py
@@ -1,1 +1,1 @@
-"""The relaying router: one event loop that takes callers' requests to replicas and answers back."""
+"""The relaying router: one event loop relays callers' requests to replicas and their answers."""
--- a/winchfork/router/attempt.py
+++ b/winchfork/router/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one replica, from the connection to its typed outcome."""
+"""One attempt of a request at one replica: sends it and turns the answer into a typed outcome."""
 
 from __future__ import annotations
 
@@ -34,16 +34,17 @@
 )
 from winchfork.router.replica_connection import Exchange, ReplicaConnection
 
-#: A whole answer larger than this is not held back for a retry.
+#: The largest answer in bytes that is buffered until it is whole.
 MAX_BUFFERED_BYTES = 4 * 1024 * 1024
 
 
 class AttemptPlan(msgspec.Struct):
-    """What is sent where.
+    """A request rendered for one replica, with the expected cost of the run.
 
-    ``unread_tokens`` is what the replica has to read of the prompt, ``memory_tokens`` what the run
-    may come to take of its memory; ``ends_s`` when it is expected to end. ``expected_s`` is how
-    long its first event, or a whole answer without events, is expected to take.
+    ``prefill_tokens`` are the prompt tokens that the replica has to process, ``memory_tokens`` the
+    most cache memory that the run may use, in tokens. ``expected_end_at_s`` is when the run is
+    expected to end, on the loop's clock. ``expected_s`` is the expected time in seconds to the
+    first event, or to the whole answer if it has no events.
     """
 
     replica: RelayReplica
@@ -58,14 +59,14 @@
     expected_end_at_s: float
     expected_s: float = 1.0
     on_prefill_done: Callable[[], None] = lambda: None
-    #: Told what the head of each answer on the connection says of the replica, as it is read, and
-    #: whether the replica's own program answers this request with it.
+    #: Called with the notice in each answer head on the connection; the flag says whether the head
+    #: is authentic and answers this request.
     on_notice: Callable[[AnswerNotice, bool], None] = lambda notice, is_answer: None
     on_events: Callable[[], None] = lambda: None
 
 
 class Attempt:
-    """Runs one exchange. After :meth:`run` the connection is free or closed."""
+    """Runs one exchange. After :meth:`run` the connection is idle or closed."""
 
     def __init__(
         self,
@@ -81,7 +82,7 @@
         self._answer = answer
         self._header_codec = header_codec
         self._head: AnswerHead | None = None
-        #: The last head that came on the connection, and that of this request's answer.
+        #: Fields of the last head received on the connection, and of this request's answer.
         self._last_fields: AnswerFields | None = None
         self._fields: AnswerFields | None = None
         self._body: list[bytes] = []
@@ -93,7 +94,7 @@
         self._last_received_at_s = 0.0
 
     async def run(self) -> Outcome:
-        """Send the request and follow its answer to the end."""
+        """Send the request and process its answer until the outcome is known."""
         plan = self.plan
         plan.replica.record_sent(
             id(self), plan.prefill_tokens, plan.expected_end_at_s, plan.memory_tokens
@@ -115,21 +116,21 @@
 
     @property
     def replica(self) -> RelayReplica:
-        """The replica at which this attempt is."""
+        """The replica that this attempt was sent to."""
         return self.plan.replica
 
     @property
     def has_first_event(self) -> bool:
-        """Whether the replica has begun to answer: its first event has come."""
+        """Whether the first event of the stream has been received."""
         return self._prefill_done
 
     @property
     def silent_s(self) -> float:
-        """Seconds since the request was sent, or since something was last heard of its answer."""
+        """Seconds since the last part of the answer was received, or since the request was sent."""
         return self._loop.time() - self._last_received_at_s
 
     def set_paused(self, paused: bool) -> None:
-        """Stop reading from the replica while the caller is behind."""
+        """Pause or resume reading from the replica (backpressure)."""
         if paused:
             self._connection.pause()
         else:
@@ -161,7 +162,7 @@
     def _is_own(self, head: AnswerHead) -> bool:
         fields = self._last_fields
         assert fields is not None
-        # A refusal that proves "not run" may come without an id; nothing else may.
+        # Only a refusal that proves "not run" may lack the request id.
         if fields.request_id is None:
             return fields.not_run or fields.misdirected
         return fields.request_id == self.plan.request_id
@@ -188,7 +189,7 @@
         self._body_bytes += len(data)
         if self._body_bytes > MAX_BUFFERED_BYTES:
             self._abandon()
-            return MayHaveRun("the answer is too large")
+            return MayHaveRun("the answer exceeds the buffer limit")
         return None
 
     def _record_events(self) -> None:
@@ -221,14 +222,14 @@
         return MayHaveRun(f"replica answered {status}", answer)
 
     def _wrong_version(self) -> bool:
-        """Whether the right replica refused, for weights that it no longer has."""
+        """Whether the replica refused because its weights version is not the expected one."""
         if self.plan.weights_version is None or self._fields is None:
             return False
         own = self._fields.replica_id == self.plan.replica.replica_id
         return self._fields.misdirected and own
 
     def _other_incarnation(self) -> str:
-        """Return the replica that refused, if it is another than was asked, else ""."""
+        """Return the id of the replica that refused if it is not the intended one, else ""."""
         fields = self._fields
         if fields is None or not fields.misdirected or fields.replica_id is None:
             return ""
@@ -238,14 +239,14 @@
     def _end_stream(self) -> Outcome:
         assert self._stream is not None
         if self._stream.truncated:
-            # Without framing, a connection that ends in order looks like the end of the answer.
+            # An answer without framing ends with the connection, even in the middle of an event.
             return MayHaveRun("the stream ended inside an event", truncated=True)
         self._answer.finish()
         return Delivered(200)
 
     def _handle_truncation(self, item: AnswerTruncated) -> Outcome:
         if self._head is not None and self._fields is not None and self._fields.not_run:
-            return NotRun("the replica's refusal broke off", True)
+            return NotRun("the connection ended inside the replica's refusal", True)
         return MayHaveRun(f"connection {item.reason}", truncated=True, silent=item.silent)
 
     def _stop(self, cause: StopCause) -> Outcome:
--- a/winchfork/router/attempt_planner.py
+++ b/winchfork/router/attempt_planner.py
@@ -1,4 +1,4 @@
-"""What of one request is sent where: the choice of a replica, and the message for it."""
+"""Chooses a replica for each attempt of one request and builds the message for it."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 from winchfork.router.request_admission import AdmittedRequest
 from winchfork.router.state import RouterState
 
-#: Seconds after a newer version is named for which older weights are worth as much, and how long
-#: after its decision a request begins.
+#: Seconds after the announcement of a newer version in which older weights carry no extra cost.
 FULL_VALUE_S = 1.5
+#: Seconds from the placement decision to the expected start of the run.
 EXPECTED_START_DELAY_S = 0.2
 
 
 class AttemptPlanner:
-    """One admitted request as its attempts see it."""
+    """Plans the attempts of one admitted request."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         return self._state.engine_speed(self.service)
 
     def place(self, excluded: set[str]) -> RelayDecision | None:
-        """Return the best replica that was not tried yet, or None when none takes work."""
+        """Return the best replica not in ``excluded``, or None if none accepts requests now."""
         candidates = self._candidates(excluded)
         now_s = self._state.clock()
         settings = self._state.settings
@@ -69,7 +69,7 @@
                 settings.zone, now_s, settings.regions, delay.task_crossing_s, connected
             )
             return place_task(task, candidates)
-        read_tokens_per_s = self._speed.prefill_tokens_per_s
+        speed_tokens_per_s = self._speed.prefill_tokens_per_s
         request = PromptPlacementRequest(
             prompt=self._prompt,
             scope=self._scope(self._prompt),
@@ -79,12 +79,12 @@
             copy_tokens_per_s=self._state.copy_tokens_per_s(self.service),
             cache_tokens=self._state.cache_capacity_tokens(self.service),
             mean_run_s=self._state.mean_run_s,
-            max_jitter_s=max_jitter_s(self._prompt, self._state.daemon_count, read_tokens_per_s),
+            max_jitter_s=max_jitter_s(self._prompt, self._state.daemon_count, speed_tokens_per_s),
             jitter_key=member_hash(self._admitted.fields.request_id),
             old_versions=self._old_versions(self._prompt.model, candidates),
             stores=self._stores,
             gap_target_s=self._admitted.route.gap_target_s,
-            prefill_tokens_per_s=read_tokens_per_s,
+            prefill_tokens_per_s=speed_tokens_per_s,
             regions=settings.regions,
             cross_region_cost_s=delay.prompt_crossing_s,
             connected=connected,
@@ -99,39 +99,39 @@
         )
 
     def is_available(self, replica: RelayReplica, excluded: set[str]) -> bool:
-        """Whether a replica, and this very incarnation, may be sent the request now."""
+        """Whether this incarnation of a replica may be sent the request now."""
         return any(candidate is replica for candidate in self._candidates(excluded))
 
     def has_candidates(self, excluded: set[str]) -> bool:
-        """Whether a replica that was not tried takes work."""
+        """Whether a replica not in ``excluded`` accepts requests now."""
         return bool(self._candidates(excluded))
 
     def next_available_in_s(self, excluded: set[str]) -> float | None:
-        """Return in how many seconds a replica will take work that takes none now."""
+        """Return in how many seconds the first replica will accept requests; None if none will."""
         return self._state.replica_selector.next_available_in_s(
             self.service, excluded, on_target=self._on_target
         )
 
     def permit_openings(self, excluded: set[str]) -> list[PermitOpening] | None:
-        """Return the places to come where every replica left has named a limit, else None."""
+        """Return the coming permits if every remaining replica has a request limit, else None."""
         return self._state.replica_selector.permit_openings(
             self.service, excluded, on_target=self._on_target
         )
 
     def min_run_s(self) -> float:
-        """Return how long a run of the request takes at least, as runs have taken lately."""
+        """Return the shortest expected run in seconds, from the recent time per output token."""
         return self._prompt.output_tokens * self._state.run_s_per_token if self._prompt else 0.0
 
     def expected_wait_s(self) -> float | None:
-        """Return how long the best replica of all is expected to take.
+        """Return the expected seconds at the best replica, whether or not it was attempted.
 
-        While none takes requests: when the first will; None if none will.
+        If none accepts requests now: the seconds until the first will, or None if none will.
         """
         decision = self.place(set())
         return decision.cost_s if decision is not None else self.next_available_in_s(set())
 
     def family_key(self, version: int | None) -> str | None:
-        """Return the name of the prompt's last shared part under a version, as peers tell it."""
+        """Return the key of the prompt's last shared part under a weights version, in hex."""
         prompt = self._prompt
         if prompt is None or version is None or not prompt.shared_parts:
             return None
@@ -139,16 +139,16 @@
         return f"{part_key(namespace, prompt.shared_parts[-1]):016x}"
 
     def worth_moving(self, elapsed_s: float, excluded: set[str]) -> bool:
-        """Whether a run's rest elsewhere saves more waiting than a second reading costs."""
+        """Whether moving a run that began ``elapsed_s`` ago is worth a second prefill."""
         prompt = self._prompt
         if prompt is None or not self._candidates(excluded):
             return False
         expected_s = prompt.output_tokens * self._state.run_s_per_token
-        read_s = prompt.prompt_tokens / self._speed.prefill_tokens_per_s
-        return worth_moving(expected_s, elapsed_s, read_s)
+        prefill_s = prompt.prompt_tokens / self._speed.prefill_tokens_per_s
+        return worth_moving(expected_s, elapsed_s, prefill_s)
 
     def _old_versions(self, model: str, candidates: Sequence[RelayReplica]) -> frozenset[int]:
-        """Return the candidates' versions that were replaced long enough ago to be worth less."""
+        """Return the candidates' weights versions whose ``FULL_VALUE_S`` has expired."""
         history = self._state.weights_versions.get(model)
         if history is None:
             return frozenset()
@@ -161,7 +161,7 @@
     def plan(
         self, decision: RelayDecision, time_left_s: float, resume_after: int | None
     ) -> AttemptPlan:
-        """Return the attempt at the chosen replica."""
+        """Return the attempt at the chosen replica; ``time_left_s`` becomes its deadline."""
         replica = decision.replica
         prompt = self._prompt
         version = replica.versions.get(prompt.model) if prompt else None
@@ -183,13 +183,13 @@
         )
 
     def _on_notice(self, replica: RelayReplica) -> Callable[[AnswerNotice, bool], None]:
-        """Return what is done with what answers say of a replica that is sent the request now."""
-        sent_s = self._state.clock()
+        """Return the callback that records the notices of a replica that is sent the request."""
+        sent_at_s = self._state.clock()
 
-        def note(notice: AnswerNotice, is_answer: bool) -> None:
-            self._state.notices.record(replica, notice, sent_s if is_answer else None)
+        def record_notice(notice: AnswerNotice, is_answer: bool) -> None:
+            self._state.notices.record(replica, notice, sent_at_s if is_answer else None)
 
-        return note
+        return record_notice
 
     def _fields(
         self,
@@ -214,9 +214,9 @@
         )
 
     def _urgency(self, decision: RelayDecision) -> int:
-        read_s = decision.prefill_tokens / self._speed.prefill_tokens_per_s
+        prefill_s = decision.prefill_tokens / self._speed.prefill_tokens_per_s
         target_s = self._admitted.route.target_latency_s
-        return urgency_level(self._admitted.priority, read_s, target_s)
+        return urgency_level(self._admitted.priority, prefill_s, target_s)
 
     def _message(self, fields: DispatchFields) -> bytes:
         request = self._request
@@ -237,10 +237,9 @@
         return decision.cost_s + self._prompt.output_tokens * self._state.run_s_per_token
 
     def _expected_first_event_s(self, decision: RelayDecision) -> float:
-        """Return how long a first event is to be expected; 1 s for what has no prompt.
+        """Return the expected seconds to the first event; 1 s for requests without a prompt.
 
-        Answers of two versions are compared by how they relate to this, so for requests of one
-        kind any constant serves.
+        Software versions are compared by the ratio to this value, so the constant does not matter.
         """
         if self._prompt is None:
             return 1.0
@@ -248,21 +247,21 @@
         return PRIOR_FIRST_TOKEN_S + tokens / self._speed.prefill_tokens_per_s
 
     def _on_prefill_done(self, decision: RelayDecision, version: int | None) -> Callable[[], None]:
-        """Return what is learned when the first token shows that the prompt has been read."""
+        """Return the callback that records what a finished prefill shows of the replica."""
         replica = decision.replica
-        sent_s = self._state.clock()
+        sent_at_s = self._state.clock()
         alone = not replica.queued_prefill_tokens and self._prefills_all_uncached(decision)
 
-        def note() -> None:
+        def record_prefill() -> None:
             self._record_cached(replica, version, decision.save_to)
             if alone:
-                took_s = self._state.clock() - sent_s
+                took_s = self._state.clock() - sent_at_s
                 self._speed.record_first_token(decision.prefill_tokens, took_s)
 
-        return note
+        return record_prefill
 
     def _prefills_all_uncached(self, decision: RelayDecision) -> bool:
-        """Whether the replica reads all that it does not keep, and copies nothing."""
+        """Whether the replica processes every token that it has not cached, and copies none."""
         if decision.copied_tokens:
             return False
         shared_tokens = self._prompt.shared_tokens if self._prompt else 0
@@ -271,7 +270,7 @@
     def _record_cached(
         self, replica: RelayReplica, version: int | None, saved_to: RelayReplica | None
     ) -> None:
-        """The prompt has been read: its shared parts are kept there, and in the store if saved."""
+        """Record the prompt's shared parts as cached at the replica, and in the store if saved."""
         prompt = self._prompt
         if prompt is None or version is None:
             return
--- a/winchfork/router/boot_clock.py
+++ b/winchfork/router/boot_clock.py
@@ -1,7 +1,6 @@
-"""The one clock of a router process: everything in it ages by its loop's time.
+"""An event loop whose clock keeps running while the machine is suspended.
 
-The loop is where the clock is chosen; a suspension of the machine then looks like any other
-standstill.
+All times in a router process come from its loop, so a suspension looks like any other stall.
 """
 
 from __future__ import annotations
@@ -13,8 +12,8 @@
 
 
 class BootClockLoop(asyncio.SelectorEventLoop):
-    """An event loop whose timers and times count suspensions."""
+    """An event loop whose time and timers include suspensions of the machine."""
 
     def time(self) -> float:
-        """Return the seconds since the machine was started, suspensions included."""
+        """Return the seconds since the machine was booted, suspensions included."""
         return time.clock_gettime(CLOCK)
--- a/winchfork/router/caller_answer.py
+++ b/winchfork/router/caller_answer.py
@@ -1,4 +1,4 @@
-"""What the caller has been given of its answer so far."""
+"""Relays replicas' answers to the caller and tracks how far each answer has been sent."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class CallerAnswer:
-    """Passes answers on unchanged. A stream keeps the head of its first replica."""
+    """The answer to one caller's request.
+
+    A stream that continues at another replica keeps the head of the first one.
+    """
 
     def __init__(self, connection: CallerConnection) -> None:
         self._connection = connection
@@ -22,10 +25,10 @@
         self.events = 0
 
     def send_buffered(self, answer: BufferedAnswer) -> None:
-        """Pass a whole answer on."""
+        """Send a whole answer to the caller."""
         head = answer.head
         headers = [pair for pair in end_to_end(head.headers) if pair[0].lower() != _LENGTH]
-        # An answer to HEAD keeps the length that it announces, without a body.
+        # An answer to HEAD keeps its Content-Length although it has no body.
         length = len(answer.body) if answer.body or head.length is None else head.length
         self.started = self.ended = True
         self._connection.start_answer(head.status, head.reason, headers, length)
@@ -34,7 +37,7 @@
         self._connection.finish_answer()
 
     def send_event(self, head: AnswerHead, event: StreamEvent) -> bool:
-        """Pass a whole event on; False for one that the caller already has."""
+        """Send a whole event to the caller; return False if the caller already has it."""
         known = self.last_event_id
         if event.event_id is not None and known is not None and event.event_id <= known:
             return False
@@ -49,18 +52,18 @@
         return True
 
     def finish(self) -> None:
-        """End a stream as whole."""
+        """End a complete stream."""
         self.ended = True
         self._connection.finish_answer()
 
     def abort(self) -> None:
-        """End an answer that is not whole."""
+        """End an incomplete answer so that the caller sees it as truncated."""
         self.ended = True
         self._connection.abort_answer()
 
 
 class StreamRelay:
-    """Takes the bytes of one replica's stream and gives whole events to the caller."""
+    """Splits one replica's stream into events and sends the whole ones to the caller."""
 
     def __init__(self, answer: CallerAnswer, head: AnswerHead) -> None:
         self._answer = answer
@@ -69,7 +72,7 @@
         self.events = 0
 
     def feed(self, data: bytes) -> int:
-        """Pass on the events that are now whole; return how many."""
+        """Send the events that ``data`` completes; return how many there were."""
         events = self._splitter.feed(data)
         for event in events:
             self._answer.send_event(self._head, event)
--- a/winchfork/router/caller_connection.py
+++ b/winchfork/router/caller_connection.py
@@ -1,8 +1,8 @@
-"""A caller's connection: requests read whole and served one at a time, answers written as given.
+"""The server side of one caller's HTTP/1.1 connection.
 
-A request is handed on only when its last byte is in, so that it can be sent again. What a caller
-may send, and how long it may take, comes from the operators' limits. An answer that cannot be
-finished ends with its connection, so that it never looks complete.
+Requests are read whole before they are handled, so that they can be retried, and are served one at
+a time. Sizes and timeouts come from the configured :class:`CallerLimits`. An answer that cannot be
+completed closes the connection, so that the caller sees it as truncated.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 )
 from winchfork.router.replica_connection import set_socket_options
 
-#: Requests read ahead on one connection before reading stops.
+#: Pipelined requests on one connection at which reading pauses.
 MAX_PIPELINED = 4
-#: Bytes waiting for a slow caller above which the answer's source is paused.
+#: Bytes buffered for a slow caller above which reading from the replica pauses.
 HIGH_WATER_BYTES = 256 * 1024
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class CallerHandler(Protocol):
-    """What serves callers' requests."""
+    """Serves the requests of callers' connections."""
 
     def limits(self) -> CallerLimits:
         """Return the limits in force."""
@@ -45,27 +45,27 @@
         ...
 
     def refuse_malformed(self, connection: CallerConnection, failure: Failure) -> None:
-        """Answer what could not be read as a request."""
+        """Refuse input that is not a valid request."""
         ...
 
     def connection_opened(self, connection: CallerConnection) -> None:
-        """A caller has connected."""
+        """Handle a new connection."""
         ...
 
     def connection_closed(self, connection: CallerConnection) -> None:
-        """A caller's connection is gone."""
+        """Handle the end of a connection."""
         ...
 
 
 class ActiveRequest(Protocol):
-    """A request being served, as its connection sees it."""
+    """A request in progress, which reacts to events of its connection."""
 
     def caller_disconnected(self) -> None:
-        """The caller is gone; nobody waits for an answer."""
+        """Handle the loss of the connection before the answer was complete."""
         ...
 
     def set_backpressure(self, paused: bool) -> None:
-        """The caller reads slower than the answer arrives, or has caught up."""
+        """Pause or resume the answer's source as the caller's write buffer fills and empties."""
         ...
 
 
@@ -93,15 +93,15 @@
         self._last_activity_at_s = self._loop.time()
         self.close_after_answer = False
 
-    # State, for the sweeper and for a planned stop.
+    # State, for the periodic sweep and for a planned stop
 
     @property
     def busy(self) -> bool:
-        """Whether a request is being served, waits, or is being read."""
+        """Whether a request is being read, queued or served."""
         return bool(self._active or self._pipelined or self._reading_head or self._reading_body)
 
     def enforce_timeouts(self, now_s: float) -> None:
-        """End a connection whose caller has taken or rested too long."""
+        """Refuse a request that arrives too slowly; close a connection that is idle too long."""
         limits = self._handler.limits()
         if self._active is not None or self._pipelined:
             return
@@ -109,27 +109,29 @@
             limit_s = limits.header_timeout_s if self._reading_head else limits.idle_timeout_s
             since_s = self._request_started_at_s if self._reading_head else self._last_activity_at_s
             if now_s - since_s > limit_s:
-                self._refuse(FailureKind.SENDER_STALLED.because("the request took too long"))
+                self._refuse(
+                    FailureKind.SENDER_STALLED.because("the request timed out while it was read")
+                )
         elif now_s - self._last_activity_at_s > limits.idle_timeout_s:
             self.close()
 
     def close_when_idle(self) -> None:
-        """End the connection after its answer; now if there is none to give."""
+        """Close the connection after the current answer, or at once if it is idle."""
         self.close_after_answer = True
         if not self.busy:
             self.close()
 
     def close(self) -> None:
-        """End the connection once what is written has gone out."""
+        """Close the connection once the written bytes have been sent."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.close()
 
-    # Answers.
+    # Answers
 
     def start_answer(
         self, status: int, reason: bytes, headers: Headers, length: int | None
     ) -> None:
-        """Write an answer's head. With no ``length``, the body is framed by this connection."""
+        """Write an answer's head; without ``length``, frame the body as chunks or by closing."""
         request = self._request
         bodyless = status in (204, 304) or (request is not None and request.method == b"HEAD")
         http_10 = request is not None and request.http_10
@@ -156,13 +158,13 @@
         self._write(data)
 
     def finish_answer(self) -> None:
-        """End the answer as whole; the next request, if any, is served."""
+        """End a complete answer and serve the next pipelined request, if any."""
         if self._chunked:
             self._write(b"0\r\n\r\n")
         self._after_answer()
 
     def abort_answer(self) -> None:
-        """End an answer that is not whole: the connection closes without its end."""
+        """Close the connection without ending the answer, so that it is seen as truncated."""
         self._active = None
         self._pipelined.clear()
         self.close()
@@ -193,7 +195,7 @@
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport and report the connection to the handler."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         set_socket_options(transport)
@@ -201,7 +203,7 @@
         self._handler.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come."""
+        """Parse received bytes; pause reading at the pipelining limit."""
         if self._refused:
             return
         self._last_activity_at_s = self._loop.time()
@@ -212,20 +214,22 @@
         except httptools.HttpParserUpgrade:
             self.close_after_answer = True
         except httptools.HttpParserCallbackError:
-            pass  # a callback has refused the request
+            pass  # A callback has already refused the request.
         except httptools.HttpParserError as error:
-            self._refuse(FailureKind.INVALID_REQUEST.because(f"not HTTP: {type(error).__name__}"))
+            self._refuse(
+                FailureKind.INVALID_REQUEST.because(f"invalid HTTP: {type(error).__name__}")
+            )
         if self._reading_head and self._header_bytes > self._handler.limits().header_bytes:
             self._refuse(FailureKind.HEADER_TOO_LARGE.because("the header is too large"))
         if len(self._pipelined) >= MAX_PIPELINED and self._transport is not None:
             self._transport.pause_reading()
 
     def eof_received(self) -> bool:
-        """The caller has closed."""
+        """Close the connection when the caller has closed its side."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The caller is gone."""
+        """Notify the active request and the handler."""
         active, self._active = self._active, None
         self._pipelined.clear()
         if active is not None:
@@ -233,19 +237,19 @@
         self._handler.connection_closed(self)
 
     def pause_writing(self) -> None:
-        """The caller is behind."""
+        """Signal backpressure to the active request."""
         if self._active is not None:
             self._active.set_backpressure(True)
 
     def resume_writing(self) -> None:
-        """The caller has caught up."""
+        """End backpressure on the active request."""
         if self._active is not None:
             self._active.set_backpressure(False)
 
     # httptools callbacks
 
     def on_message_begin(self) -> None:
-        """A request line begins."""
+        """Reset the state for a new request."""
         self._target = b""
         self._headers = []
         self._header_bytes = 0
@@ -255,15 +259,15 @@
         self._reading_head = True
 
     def on_url(self, url: bytes) -> None:
-        """Collect the target."""
+        """Append to the target, which may arrive in pieces."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header."""
+        """Append a header."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Check the head's size and whether the caller waits to be told to go on."""
+        """Check the announced sizes; answer ``Expect: 100-continue``."""
         self._reading_head = False
         self._reading_body = True
         limits = self._handler.limits()
@@ -280,7 +284,7 @@
             self._write(_CONTINUE)
 
     def on_body(self, data: bytes) -> None:
-        """Collect the body."""
+        """Append to the body, up to the configured limit."""
         self._body_bytes += len(data)
         if self._body_bytes > self._handler.limits().body_bytes:
             self._refuse(FailureKind.BODY_TOO_LARGE.because("the body is too large"))
@@ -288,7 +292,7 @@
         self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """The request is whole."""
+        """Queue the complete request."""
         self._reading_body = False
         if self._refused:
             return
--- a/winchfork/router/connection_pool.py
+++ b/winchfork/router/connection_pool.py
@@ -1,7 +1,6 @@
-"""Connections to replicas, kept and reused; the total to one address is bounded.
+"""A pool of connections to replicas, with a limit for each address.
 
-A service's replicas take a limited number of connections from all daemons together, so each daemon
-keeps to its part. The connection used last is used first, and the rest go idle and are closed.
+The most recently used connection is reused first, so that surplus ones become idle and are closed.
 """
 
 from __future__ import annotations
@@ -13,16 +12,16 @@
 from winchfork.errors import Failure, FailureKind
 from winchfork.router.replica_connection import ReplicaConnection
 
-#: Seconds for a connection to come up.
+#: Seconds to establish a connection.
 CONNECT_TIMEOUT_S = 0.6
-#: A limit that is noticed this much late ran out while the process stood still.
+#: Seconds that the connect timeout may fire late; beyond that, a stall of the process is assumed.
 STALL_THRESHOLD_S = 0.3
-#: Idle connections are closed after this long.
+#: Seconds after which an idle connection is closed.
 IDLE_TIMEOUT_S = 12.0
 
 
 class PoolCounters(msgspec.Struct):
-    """Connections opened and failed to open since the start."""
+    """Connection attempts that succeeded and failed since the start."""
 
     opened: int = 0
     failed: int = 0
@@ -36,23 +35,23 @@
         self._idle: dict[str, list[ReplicaConnection]] = {}
         self._open_counts: dict[str, int] = {}
         self.counters = PoolCounters()
-        #: Seconds in which the quickest connection to each address has come up.
+        #: The shortest connect time to each address so far, in seconds.
         self.min_connect_s: dict[str, float] = {}
 
     def is_connected(self, address: str) -> bool:
-        """Whether a connection to an address waits to be used."""
+        """Whether there is a usable idle connection to an address."""
         now_s = self._loop.time()
         return any(connection.is_usable(now_s) for connection in self._idle.get(address, ()))
 
     async def acquire(self, address: str, limit: int) -> ReplicaConnection | Failure:
-        """Return a connection that no exchange uses; nothing has been sent on a failure."""
-        kept = self.pop_idle(address)
-        if kept is not None:
-            return kept
+        """Return an idle or new connection; ``limit`` bounds the open ones to the address."""
+        idle = self.pop_idle(address)
+        if idle is not None:
+            return idle
         return await self.open_new(address, limit)
 
     async def open_new(self, address: str, limit: int) -> ReplicaConnection | Failure:
-        """Return a new connection, also where one waits to be used."""
+        """Open a connection even if an idle one exists; ``limit`` bounds the open ones."""
         if self._open_counts.get(address, 0) >= limit:
             return FailureKind.OVERLOADED.because(
                 f"all {limit} connections to {address} are in use"
@@ -60,12 +59,12 @@
         return await self._open_with_retry(address)
 
     def release(self, address: str, connection: ReplicaConnection) -> None:
-        """Return a connection on which nothing was sent."""
+        """Put back a connection on which nothing was sent."""
         connection.idle_since_s = self._loop.time()
         self._idle.setdefault(address, []).append(connection)
 
     def pop_idle(self, address: str) -> ReplicaConnection | None:
-        """Return a connection that waits to be used; None: one has to be opened."""
+        """Remove and return a usable idle connection, or None; unusable ones are closed."""
         idle = self._idle.get(address, [])
         now_s = self._loop.time()
         while idle:
@@ -76,7 +75,7 @@
         return None
 
     async def _open_with_retry(self, address: str) -> ReplicaConnection | Failure:
-        """Open a connection; once more if the limit ran out while this process stood still."""
+        """Open a connection; retry once if the timeout expired during a stall of this process."""
         asked_s = self._loop.time()
         connection = await self._open_one(address)
         late_s = self._loop.time() - asked_s - CONNECT_TIMEOUT_S
@@ -109,7 +108,8 @@
             refused = isinstance(error, ConnectionRefusedError)
             kind = FailureKind.CONNECTION_REFUSED if refused else FailureKind.BACKEND_UNREACHABLE
             return kind.because(
-                f"{address}: {type(error).__name__}", remedy="another replica may answer"
+                f"{address}: {type(error).__name__}",
+                remedy="check that it is running and reachable",
             )
         except asyncio.CancelledError:
             self._decrement_open(address)
@@ -120,29 +120,29 @@
         return connection
 
     def _decrement_open(self, address: str) -> None:
-        left = self._open_counts.get(address, 1) - 1
-        if left > 0:
-            self._open_counts[address] = left
+        remaining = self._open_counts.get(address, 1) - 1
+        if remaining > 0:
+            self._open_counts[address] = remaining
         else:
             self._open_counts.pop(address, None)
 
     def sweep(self, now_s: float) -> None:
-        """Close connections that have been idle for long or are at their announced end."""
+        """Close connections that have been idle too long or whose keep-alive time has expired."""
         for address in list(self._idle):
-            kept: list[ReplicaConnection] = []
+            usable: list[ReplicaConnection] = []
             for connection in self._idle[address]:
                 fresh = now_s - connection.idle_since_s < IDLE_TIMEOUT_S
                 if fresh and connection.is_usable(now_s):
-                    kept.append(connection)
+                    usable.append(connection)
                 else:
                     connection.close()
-            if kept:
-                self._idle[address] = kept
+            if usable:
+                self._idle[address] = usable
             else:
                 del self._idle[address]
 
     def close_idle(self, address: str) -> None:
-        """Close the idle connections to an address whose replica has left."""
+        """Close the idle connections to an address."""
         for connection in self._idle.pop(address, []):
             connection.close()
 
--- a/winchfork/router/event_stream.py
+++ b/winchfork/router/event_stream.py
@@ -1,4 +1,4 @@
-"""Cuts an event stream into whole events, and reads their ids (WHATWG server-sent events)."""
+"""Splits a stream of server-sent events (WHATWG HTML) into whole events and reads their ids."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class StreamEvent(msgspec.Struct, frozen=True):
-    """One whole event with its closing empty line; ``event_id`` is None without a numeric id."""
+    """One event with its closing empty line; ``event_id`` is None without a numeric id."""
 
     raw: bytes
     event_id: int | None
 
 
 class EventSplitter:
-    """Collects bytes and gives back whole events; the torn rest stays inside."""
+    """Buffers bytes until they form whole events."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Take bytes and return the events that are now whole."""
+        """Append bytes and return the events that they complete."""
         self._buffer += data
         events: list[StreamEvent] = []
         while True:
@@ -31,7 +31,7 @@
 
     @property
     def incomplete_event(self) -> bytes:
-        """Bytes of an event that has not ended."""
+        """Buffered bytes of the last event, which is not complete yet."""
         return self._buffer
 
 
--- a/winchfork/router/header_codec.py
+++ b/winchfork/router/header_codec.py
@@ -1,6 +1,7 @@
-"""The port to a deployment's header names: what a request says, what a dispatch carries.
+"""The interface between the router and a deployment's HTTP header names.
 
-The router knows these fields; a translation package knows what they are called on the wire.
+The router works on the typed fields defined here. An implementation of :class:`HeaderCodec` maps
+them to and from header names.
 """
 
 from __future__ import annotations
@@ -16,9 +17,10 @@
 
 
 class RequestFields(msgspec.Struct, frozen=True):
-    """What a caller's headers say. ``deadline_s`` is how long the caller waits from now.
+    """Fields of a caller's headers; None where a header is missing.
 
-    ``declared_tokens`` is what the request says to use, in and out; None where it does not say.
+    ``deadline_s`` is how many seconds the caller still waits. ``declared_tokens`` is the declared
+    sum of input and output tokens. ``resume_after`` is the id of the last event received.
     """
 
     request_id: str
@@ -30,7 +32,11 @@
 
 
 class DispatchFields(msgspec.Struct, frozen=True):
-    """What the router adds to a request it passes on; None leaves a field out."""
+    """Fields that the router sets on a request to a replica; None omits a header.
+
+    ``deadline_s`` is the time left in seconds. ``copy_from`` and ``save_to`` are the addresses that
+    the replica copies cached prompt parts from and saves them to.
+    """
 
     deadline_s: float
     replica_id: str
@@ -44,10 +50,11 @@
 
 
 class AnswerFields(msgspec.Struct, frozen=True):
-    """What a replica's headers say. ``not_run`` is its proof that it did not run the request.
+    """Fields of a replica's answer headers.
 
-    ``misdirected`` says the same: the request expected another replica, or other weights of the
-    replica that ``replica_id`` names. ``notice`` is what the replica says of itself.
+    ``authentic``: the answer carries the replica's proof of origin. ``not_run``: the replica proves
+    that it did not run the request. ``misdirected``: it did not run it either, since the request
+    expected another replica, or other weights of the replica ``replica_id``.
     """
 
     request_id: str | None
@@ -60,16 +67,16 @@
 
 
 class HeaderCodec(Protocol):
-    """Translates between header names and fields."""
+    """Converts between headers and fields."""
 
     def read_request(self, headers: Headers) -> RequestFields | Failure:
-        """Read a caller's headers; the failure names the header and what it should hold."""
+        """Parse a caller's headers; a failure names the invalid header and the expected value."""
         ...
 
     def dispatch_headers(self, headers: Headers, fields: DispatchFields) -> Headers:
-        """Return the headers for a replica: the caller's end-to-end ones and ``fields``."""
+        """Return a replica's request headers: the caller's end-to-end headers and ``fields``."""
         ...
 
     def read_answer(self, head: AnswerHead) -> AnswerFields:
-        """Read a replica's headers."""
+        """Parse a replica's answer headers."""
         ...
--- a/winchfork/router/http_types.py
+++ b/winchfork/router/http_types.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages as the router handles them: raw header pairs, whole bodies, typed progress."""
+"""HTTP/1.1 messages and the events in the life of a request."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def end_to_end(headers: Headers, keep: frozenset[bytes] = frozenset()) -> Headers:
-    """Return the headers that travel on: neither hop-by-hop nor named by Connection.
+    """Return the end-to-end headers: neither hop-by-hop nor named by Connection.
 
     ``keep`` are names in lower case that Connection cannot remove.
     """
@@ -62,7 +62,7 @@
 
 
 def render_headers(start_line: bytes, headers: Headers) -> bytes:
-    """Return a message head, with its empty line."""
+    """Return a message head, including its closing empty line."""
     lines = [start_line]
     lines += [key + b": " + value for key, value in headers]
     lines.append(b"\r\n")
@@ -70,7 +70,7 @@
 
 
 class IncomingRequest(msgspec.Struct):
-    """A caller's request, read whole. ``received_s`` is when its first byte was seen."""
+    """A caller's request with its whole body; ``received_at_s`` is when its first byte was read."""
 
     method: bytes
     target: bytes
@@ -82,12 +82,12 @@
 
     @property
     def path(self) -> str:
-        """The target without its query, as text."""
+        """The target without its query."""
         return self.target.partition(b"?")[0].decode("latin-1")
 
     @property
     def host(self) -> str:
-        """The Host header as text."""
+        """The value of the Host header."""
         return (find_header(self.headers, b"host") or b"").decode("latin-1").strip()
 
 
@@ -101,19 +101,19 @@
 
 
 class AnswerData(msgspec.Struct, frozen=True):
-    """A piece of an answer's body, unframed."""
+    """A piece of an answer's body, without its framing."""
 
     data: bytes
 
 
 class AnswerEnd(msgspec.Struct, frozen=True):
-    """The answer is whole."""
+    """The answer is complete."""
 
 
 class AnswerTruncated(msgspec.Struct, frozen=True):
-    """The connection ended or spoke nonsense before the answer was whole.
+    """The connection closed, or received invalid HTTP, before the answer was complete.
 
-    ``silent``: nothing that was sent has been acknowledged for a while.
+    ``silent``: it timed out because the other side acknowledged nothing.
     """
 
     reason: str
@@ -125,13 +125,13 @@
 
 
 class TimerFired(msgspec.Struct, frozen=True):
-    """A timer of the request went off; ``name`` says which."""
+    """The timer ``name`` of the request fired."""
 
     name: str
 
 
 class MoveRequested(msgspec.Struct, frozen=True):
-    """The replica named is about to load weights: a stream that can be resumed had better move."""
+    """The attempt at this replica is to be ended, and the request sent to another."""
 
     replica_id: str
 
--- a/winchfork/router/inbox.py
+++ b/winchfork/router/inbox.py
@@ -1,4 +1,4 @@
-"""The one place where everything that happens to a request arrives, in order."""
+"""The event queue of a request: answer parts, timers, and the end of the caller's connection."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Inbox:
-    """An unbounded single-reader queue; the writers bound what they put (reads are paused)."""
+    """An unbounded queue with one reader; writers bound it by pausing reads from the replica."""
 
     __slots__ = ("_items", "_waiter")
 
@@ -38,10 +38,12 @@
         return self.pop()
 
     def pop(self) -> RequestEvent:
-        """Take the next item, of which there has to be one."""
+        """Remove and return the next item; the queue must not be empty."""
         return self._items.popleft()
 
     def drop_answers(self) -> None:
-        """Drop what an abandoned exchange has left behind."""
-        kept = [item for item in self._items if isinstance(item, (CallerDisconnected, TimerFired))]
-        self._items = deque(kept)
+        """Drop the answer parts and move requests of an abandoned exchange."""
+        remaining = [
+            item for item in self._items if isinstance(item, (CallerDisconnected, TimerFired))
+        ]
+        self._items = deque(remaining)
--- a/winchfork/router/log_output.py
+++ b/winchfork/router/log_output.py
@@ -1,4 +1,4 @@
-"""Log lines to standard output without ever waiting for its reader, and bounded in number."""
+"""Non-blocking log output to a file descriptor, with a bounded buffer."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 import sys
 from collections import deque
 
-#: Bytes kept for a reader that is behind; past it, the oldest lines are dropped and counted.
+#: Bytes buffered for a slow reader; beyond it the oldest lines are dropped and counted.
 MAX_PENDING_BYTES = 256 * 1024
 _WRITE_BYTES = 64 * 1024
 
 
 class LogOutput:
-    """A sink for log lines; :meth:`flush` writes what the reader takes now."""
+    """Buffers log lines; :meth:`flush` writes as much as the reader accepts."""
 
     def __init__(self, descriptor: int | None = None) -> None:
         self._descriptor = sys.stdout.fileno() if descriptor is None else descriptor
@@ -22,7 +22,7 @@
         self.dropped = 0
 
     def write(self, text: str) -> None:
-        """Take a line."""
+        """Buffer a line, which includes its line end."""
         line = text.encode("utf-8", "replace")
         self._lines.append(line)
         self._bytes += len(line)
@@ -31,7 +31,7 @@
             self.dropped += 1
 
     def flush(self) -> None:
-        """Write pending lines until the reader takes no more."""
+        """Write pending lines until writing would block."""
         while self._lines:
             batch = b""
             while self._lines and len(batch) < _WRITE_BYTES:
--- a/winchfork/router/log_rate_limit.py
+++ b/winchfork/router/log_rate_limit.py
@@ -1,8 +1,8 @@
-"""Bounds how often an event is logged that others bring about."""
+"""Bounds how often an event is logged that external input can trigger."""
 
 from __future__ import annotations
 
-#: Lines in a row, and seconds until as many are allowed again.
+#: Lines allowed in each period of PERIOD_S seconds.
 MAX_LINES = 20
 PERIOD_S = 10.0
 
@@ -15,7 +15,7 @@
         self._lines = 0
 
     def allows(self, now_s: float) -> bool:
-        """Whether one more line may be written now; counts it."""
+        """Count a line and return whether it may be written."""
         if now_s >= self._period_ends_s:
             self._period_ends_s = now_s + PERIOD_S
             self._lines = 0
--- a/winchfork/router/outcome_recorder.py
+++ b/winchfork/router/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt says of its replica: whether it works, its weights, its software."""
+"""Updates the state of a replica, its weights and its software version after an attempt."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from winchfork.router.request_record import RequestRecord
 from winchfork.router.state import RouterState
 
-#: A replica that has refused a request is left alone for this long: it is full or loads weights.
+#: Seconds in which a replica that refused a request is sent none: it is full or loads weights.
 REFUSAL_COOLDOWN_S = 0.3
-#: From this status on, an answer says that the replica has failed.
+#: Lowest HTTP status that counts as a failure of the replica's software.
 MIN_FAILURE_STATUS = 500
 
 
 class OutcomeRecorder:
-    """Takes down the outcomes of one request's attempts."""
+    """Records the outcomes of one request's attempts."""
 
     def __init__(self, state: RouterState, admitted: AdmittedRequest, service: str) -> None:
         self._state = state
@@ -26,7 +26,7 @@
         self._service = service
 
     def record_outcome(self, plan: AttemptPlan, outcome: Outcome, record: RequestRecord) -> bool:
-        """Note an outcome; True if the replica turned out to have newer weights than expected."""
+        """Record an outcome; return whether the replica has newer weights than expected."""
         replica = plan.replica
         now_s = self._state.clock()
         took_s = now_s - record.sent_at_s
@@ -55,14 +55,17 @@
     def _record_acceptance(
         self, replica: RelayReplica, outcome: Outcome, record: RequestRecord
     ) -> None:
-        """Tell whether a request was turned away: a replica on trial is shown to take them."""
+        """Record whether the replica accepted the request, which ends its trial after a backoff."""
         if isinstance(outcome, NotRun):
             replica.notice.record_answer(record.sent_at_s, refused=True)
         elif isinstance(outcome, Delivered) or _has_answer(outcome):
             replica.notice.record_answer(record.sent_at_s, refused=False)
 
     def _record_run(self, plan: AttemptPlan, outcome: Outcome) -> None:
-        """Tell whether the replica outlived the request; one that leaves may cut it as planned."""
+        """Record whether the run was answered or broken off.
+
+        A break counts only for a replica in service: one that drains may end its runs as planned.
+        """
         crashes = self._state.crashes
         digest = self._admitted.digest
         replica = plan.replica
@@ -80,9 +83,9 @@
     def _record_software(
         self, plan: AttemptPlan, outcome: Outcome, record: RequestRecord, took_s: float
     ) -> None:
-        """Count a whole answer for or against the version of the replica's software.
+        """Count a whole answer as a success or failure of the replica's software version.
 
-        A connection that breaks says that a replica, or the way to it, has failed.
+        A broken connection is not counted: the replica or the network may have failed.
         """
         failed = _is_failure(outcome)
         if not failed and not isinstance(outcome, Delivered):
--- a/winchfork/router/outcomes.py
+++ b/winchfork/router/outcomes.py
@@ -1,4 +1,4 @@
-"""How one attempt at a replica ended, and what that proves about its running."""
+"""Outcomes of an attempt at a replica, by whether the request may have run."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 
 class BufferedAnswer(msgspec.Struct, frozen=True):
-    """A replica's whole answer, not yet passed on."""
+    """A replica's whole answer, not sent to the caller yet."""
 
     head: AnswerHead
     body: bytes
 
 
 class Delivered(msgspec.Struct, frozen=True):
-    """The caller has the whole answer."""
+    """The whole answer was written to the caller's connection."""
 
     status: int
 
 
 class NotRun(msgspec.Struct, frozen=True):
-    """The replica did not run the request and never will.
+    """The replica did not run the request and will not run it.
 
-    ``same_replica`` asks for another try at the same replica: only its weights version was wrong.
-    ``other_replica``: the id of the incarnation that answers at its address in its place.
+    ``sent``: the request was sent. ``retry_same_replica``: only the weights version was wrong.
+    ``other_incarnation``: the id of the incarnation that now answers at the replica's address.
     """
 
     reason: str
@@ -43,10 +43,10 @@
 
 
 class MayHaveRun(msgspec.Struct, frozen=True):
-    """The request may have run. ``answer`` is the replica's failure, where it gave a whole one.
+    """The request may have run. ``answer`` is the replica's error answer if it was complete.
 
-    ``broke``: the connection ended before the answer was whole. ``silent``: the replica, or the way
-    to it, does not even acknowledge what is sent.
+    ``truncated``: the connection ended before the answer was complete. ``silent``: it timed out
+    because the other side acknowledged nothing.
     """
 
     reason: str
@@ -56,17 +56,17 @@
 
 
 class Stopped(msgspec.Struct, frozen=True):
-    """Nobody waits for this request any more, or its time is up."""
+    """The caller disconnected, or the request's time is up."""
 
     cause: StopCause
 
 
 class Moved(msgspec.Struct, frozen=True):
-    """The exchange was ended here so that the stream goes on at another replica."""
+    """The attempt was ended so that the request continues at another replica."""
 
 
 class StaleChoice(msgspec.Struct, frozen=True):
-    """While a connection came up the choice ceased to hold: nothing was sent, choose again."""
+    """The replica became unavailable while the connection was opened; nothing was sent."""
 
 
 Outcome = Delivered | NotRun | MayHaveRun | Stopped | Moved | StaleChoice
--- a/winchfork/router/pooled_http_client.py
+++ b/winchfork/router/pooled_http_client.py
@@ -1,4 +1,4 @@
-"""Small whole calls over pooled connections: to the store, to replicas' own interface, to peers."""
+"""HTTP calls over pooled connections, for small messages that are buffered whole."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from winchfork.router.inbox import Inbox
 from winchfork.router.replica_connection import Exchange
 
-#: Connections that one caller of this module may hold to an address.
+#: Open connections to one address.
 _MAX_CONNECTIONS = 8
 
 
@@ -33,7 +33,7 @@
 
 
 class PooledHttpClient:
-    """Makes calls with a time limit each; ``on_call`` is told the label of each."""
+    """Makes calls with a timeout; ``on_call`` is called with the label of each."""
 
     def __init__(
         self, pool: ConnectionPool, on_call: Callable[[str], None] = lambda label: None
@@ -54,17 +54,19 @@
         is_still_allowed: Callable[[], bool] | None = None,
         on_head: Callable[[AnswerHead], None] = lambda head: None,
     ) -> CallReply | Failure:
-        """Return the answer; a failure whose ``ran`` is "not run" was never sent.
+        """Return the answer; a failure whose ``ran`` is "not run" means that nothing was sent.
 
-        ``allowed`` is asked as the last thing before the first byte leaves; ``on_head`` is shown
-        the head of each answer.
+        ``is_still_allowed`` is checked directly before the call is sent, when the connection is
+        open. ``on_head`` is called with the head of the answer.
         """
         connection = await self._pool.acquire(address, _MAX_CONNECTIONS)
         if isinstance(connection, Failure):
             return connection
         if is_still_allowed is not None and not is_still_allowed():
             self._pool.release(address, connection)
-            return FailureKind.NOT_ACCEPTING_WORK.because("no longer allowed")
+            return FailureKind.NOT_ACCEPTING_WORK.because(
+                "the call was no longer allowed once connected"
+            )
         self._on_call(label)
         inbox = Inbox()
         lines: Headers = [(b"Host", address.encode()), *(headers or [])]
@@ -78,12 +80,12 @@
             async with asyncio.timeout(timeout_s):
                 return await answer.wait()
         except TimeoutError:
-            # A process that stood still sees its timer before the answer that came meanwhile.
+            # After a stall of the process the timer fires before an answer that has arrived.
             arrived = answer.pop_arrived()
             if arrived is not None:
                 return arrived
             connection.abandon()
-            # Connections fall silent together: the next call had better open one.
+            # The other connections to the address are likely to be broken as well.
             self._pool.close_idle(address)
             return FailureKind.BACKEND_FAILED.because(f"no answer within {timeout_s:.2f} s")
         except asyncio.CancelledError:
@@ -92,7 +94,7 @@
 
 
 class _ReplyReader:
-    """An answer as its parts come in."""
+    """Assembles an answer from its parts."""
 
     def __init__(self, inbox: Inbox) -> None:
         self._inbox = inbox
@@ -100,14 +102,14 @@
         self._pieces: list[bytes] = []
 
     async def wait(self) -> CallReply | Failure:
-        """Return the whole answer when it has come."""
+        """Wait for the whole answer."""
         while True:
             answer = self._handle(await self._inbox.get())
             if answer is not None:
                 return answer
 
     def pop_arrived(self) -> CallReply | Failure | None:
-        """Return the answer if all of it is here, without waiting."""
+        """Return the answer if all of it has been received, without waiting."""
         while len(self._inbox):
             answer = self._handle(self._inbox.pop())
             if answer is not None:
--- a/winchfork/router/refusal_writer.py
+++ b/winchfork/router/refusal_writer.py
@@ -1,4 +1,4 @@
-"""Writes into the store which requests are refused, or no longer, once for the whole fleet."""
+"""Writes the records of refused requests to the store, once for the whole fleet."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from winchfork.router.state import RouterState
 from winchfork.stores.async_key_value import AsyncKeyValueStore, ExpectedRevision, PutItem
 
-#: The daemon whose run was the last to end writes at once. The others leave it this long, and each
-#: of them a while that grows with the fleet: whoever comes first is enough.
+#: Seconds that the other daemons wait for the one that sent the last run to write the record.
 OTHERS_DELAY_S = 0.4
+#: Seconds of random delay of each other daemon for each daemon of the fleet.
 SPREAD_PER_DAEMON_S = 0.02
-#: Pause after a failed write, jittered by half of itself.
+#: Seconds from a failed write to the retry, with a jitter of half that.
 RETRY_DELAY_S = 0.6
-#: Refusals that wait to be written; more are kept in memory only.
+#: Records that wait to be written; further ones stay in memory only.
 MAX_PENDING = 64
 
 
 class RefusalWriter:
-    """A duty of every daemon."""
+    """The task that writes the records; it runs on every daemon."""
 
     def __init__(
         self, state: RouterState, store: AsyncKeyValueStore, generator: random.Random
@@ -35,7 +35,7 @@
         state.crashes.on_record_changed = self.schedule
 
     def schedule(self, digest: bytes, *, own: bool) -> None:
-        """Have a request's record written; ``own``: this daemon sent the run that ended last."""
+        """Schedule a write of a request's record; ``own``: this daemon sent the last run."""
         if digest in self._due_at_s or len(self._due_at_s) >= MAX_PENDING:
             return
         spread_s = self._generator.random() * SPREAD_PER_DAEMON_S * self._state.daemon_count
@@ -43,7 +43,7 @@
         self._scheduled.set()
 
     async def run(self) -> None:
-        """Write what is due until cancelled."""
+        """Write the records that are due, until cancelled."""
         while True:
             if not self._due_at_s:
                 self._scheduled.clear()
--- a/winchfork/router/refusals.py
+++ b/winchfork/router/refusals.py
@@ -1,4 +1,4 @@
-"""The router's own answers: status, when to come back, and a body that says why."""
+"""The router's own error answers: status, Retry-After and a JSON body with the reason."""
 
 from __future__ import annotations
 
@@ -18,19 +18,18 @@
     FailureKind.BODY_TOO_LARGE: 413,
     FailureKind.QUOTA_EXCEEDED: 429,
     FailureKind.HEADER_TOO_LARGE: 431,
-    # Final, and no promise: an earlier try has run, and this one is not to be sent again.
+    # Not 503: an earlier attempt has run, and the caller must not retry.
     FailureKind.CRASHES_REPLICAS: 500,
 }
-#: Wait told to a refused caller where nothing is known of when it will be served.
+#: Seconds in Retry-After when the failure gives no estimate.
 DEFAULT_RETRY_AFTER_S = 0.25
-#: Share of the wait that is added at random, so that returns do not coincide; and at least so many
-#: seconds, which spread the callers of a daemon whose bucket or queue is free at one moment.
+#: Jitter added to Retry-After: a share of the wait, and its minimum in seconds.
 JITTER_SHARE = 0.5
 MIN_JITTER_S = 0.1
 
 
 class RefusalAnswer(msgspec.Struct, frozen=True):
-    """A whole answer of the router's own."""
+    """A whole answer made by the router."""
 
     status: int
     headers: Headers
@@ -40,7 +39,10 @@
 def refusal_answer(
     failure: Failure, request_id: str | None, generator: random.Random
 ) -> RefusalAnswer:
-    """Return the answer for ``failure``: 503 promises "not run", 502 and 504 promise nothing."""
+    """Return the answer for ``failure``.
+
+    Status 503 guarantees that the request did not run; 502 and 504 guarantee nothing.
+    """
     status = _status(failure)
     body = json.dumps(
         {
--- a/winchfork/router/relayed_request.py
+++ b/winchfork/router/relayed_request.py
@@ -1,8 +1,8 @@
-"""One caller's request, from admission to its one final answer.
+"""One caller's request, from admission to its final answer.
 
-The final answer promises "not run" only when no attempt may have run. An attempt whose outcome is
-unknown is followed by another only where the route's requests are repeatable. Every repeat draws on
-the retry budget, and no request is sent to more replicas than its route allows.
+The final answer guarantees "not run" only if no attempt may have run. After an attempt with unknown
+outcome the request is retried only if its route is repeatable. Retries are bounded by the retry
+budget and by the route's number of attempts.
 """
 
 from __future__ import annotations
@@ -49,14 +49,14 @@
     from winchfork.router.caller_connection import CallerConnection
     from winchfork.router.service import RouterService
 
-#: Tries at one replica that only refused the weights version.
+#: Retries at a replica that refused only the weights version.
 _MAX_VERSION_RETRIES = 1
-#: Failures that say that a replica could not be reached.
+#: Failures that mean that a replica could not be reached.
 _UNREACHABLE_KINDS = (FailureKind.BACKEND_UNREACHABLE, FailureKind.CONNECTION_REFUSED)
 
 
 class RelayedRequest:
-    """Serves one admitted request."""
+    """Serves one admitted request; ``charge`` is refunded if the request did not run."""
 
     def __init__(
         self,
@@ -102,7 +102,7 @@
         self._search = ReplicaSearch(
             service.state, self._planner, self._retries, admitted, self._attempted, self._inbox
         )
-        #: Moves the request away from the replica that it is at.
+        #: Moves the request away from its current replica.
         self.moves = StreamMoves(
             service.state, self._planner, self._retries, self._attempted, self._inbox
         )
@@ -110,11 +110,11 @@
     # ActiveRequest
 
     def caller_disconnected(self) -> None:
-        """The caller is gone."""
+        """End the request: its caller has disconnected."""
         self._inbox.put(CallerDisconnected())
 
     def set_backpressure(self, paused: bool) -> None:
-        """Slow the replica down to the caller's pace."""
+        """Pause or resume reading from the replica."""
         if self.moves.attempt is not None:
             self.moves.attempt.set_paused(paused)
 
@@ -126,7 +126,7 @@
         self._state.retry_budget.record_request(self._service_name, self._loop.time())
         try:
             await self._serve()
-        except Exception as error:  # noqa: BLE001 - one request's surprise must not end the others
+        except Exception as error:  # noqa: BLE001 - an error in one request must not end others
             log_event("request_error", "ERROR", id=self._request_id, error=repr(error))
             self._answer_failure(FailureKind.INTERNAL.because(repr(error), ran=self._run_state()))
         finally:
@@ -170,7 +170,7 @@
             return connection
         if self._retries.time_left_s <= 0:
             self._service.pool.release(replica.listing.address, connection)
-            return NotRun("the time is up", sent=False)
+            return NotRun("the deadline passed while the connection was opened", sent=False)
         plan = self._planner.plan(decision, self._retries.time_left_s, self._resume_after())
         plan.on_events = self._record.mark_events
         if self._charge is not None and self._may_have_run:
@@ -192,17 +192,17 @@
         return outcome
 
     async def _connect(self, replica: RelayReplica) -> ReplicaConnection | NotRun | StaleChoice:
-        """Return a connection to a replica that may still be sent the request."""
+        """Return a connection, if the replica may still be sent the request once it is open."""
         pool = self._service.pool
         address = replica.listing.address
-        kept = pool.pop_idle(address)
-        if kept is not None:
-            return kept
+        idle = pool.pop_idle(address)
+        if idle is not None:
+            return idle
         limit = self._state.connection_limit(replica.listing.service)
         connection = await pool.acquire(address, limit)
         if isinstance(connection, Failure):
             return self._handle_connect_failure(replica, connection)
-        # Meanwhile it may have begun to leave or to load, or its weights' time be over.
+        # The replica may have begun to drain or load, or its weights may have expired.
         if self._planner.is_available(replica, self._search.excluded()) and self._may_run():
             return connection
         pool.release(address, connection)
@@ -227,7 +227,7 @@
         return NotRun(failure.reason, sent=False)
 
     def _resume_after(self) -> int | None:
-        """Return the id of the last event that the caller has."""
+        """Return the id of the last event that the caller has received."""
         if self._answer.last_event_id is not None:
             return self._answer.last_event_id
         return self._admitted.fields.resume_after
@@ -236,10 +236,10 @@
         digest = self._admitted.digest
         return self._crashes.refusal(digest) is None and self._crashes.may_run(digest)
 
-    # What follows an attempt
+    # After an attempt
 
     def _handle_outcome(self, replica: RelayReplica, outcome: Outcome) -> bool:
-        """Give the final answer, or return True for another attempt."""
+        """Send the final answer and return False, or return True for another attempt."""
         if isinstance(outcome, Delivered):
             self._record.outcome = f"delivered_{outcome.status}"
             self._answered_by_replica = True
@@ -277,11 +277,13 @@
         self._may_have_run = True
         self._attempted.add(replica.replica_id)
         failed_by_replica = outcome.answer is not None and outcome.answer.head.status < 500
-        others_left = self._planner.has_candidates(self._attempted)
-        # A request that has ended replicas is not offered to one more by the same try.
-        ends_replicas = self._crashes.crash_count(self._admitted.digest) >= MAX_CRASHES_PER_ATTEMPT
-        repeatable = self._route.repeatable and not ends_replicas
-        worth_it = repeatable and not failed_by_replica and others_left
+        has_others = self._planner.has_candidates(self._attempted)
+        # A request that has crashed replicas is retried only if the caller sends it again.
+        crashes_replicas = (
+            self._crashes.crash_count(self._admitted.digest) >= MAX_CRASHES_PER_ATTEMPT
+        )
+        repeatable = self._route.repeatable and not crashes_replicas
+        worth_it = repeatable and not failed_by_replica and has_others
         if worth_it and self._retries.try_spend(self._route.max_attempts):
             return True
         if outcome.answer is not None and not self._answer.started:
@@ -303,11 +305,11 @@
         if cause is StopCause.CALLER_DISCONNECTED:
             self._record.outcome = cause.value
             return
-        reason = "the time allowed is up"
+        reason = "the deadline of the request has passed"
         self._answer_failure(FailureKind.DEADLINE_EXCEEDED.because(reason, ran=self._run_state()))
 
     def _answer_failure(self, failure: Failure) -> None:
-        """Give the final answer of a request that no replica answered."""
+        """Send the final answer of a request that no replica answered."""
         self._record.outcome = failure.kind.value
         self._record.reason = failure.reason
         if self._answer.ended:
--- a/winchfork/router/replica_connection.py
+++ b/winchfork/router/replica_connection.py
@@ -1,9 +1,8 @@
-"""A client connection to a replica, a peer or the store: one exchange at a time, all bytes seen.
+"""A client HTTP/1.1 connection to a replica, a peer or the store, with one exchange at a time.
 
-Answers are matched by id where the exchange names one: an answer with another id is read and
-dropped, since a surplus answer may arrive in the place of the next. Bytes that belong to no
-exchange close the connection. An answer without framing is whole only when its connection ends in
-order; a reset tears it.
+Answers that the exchange does not accept as its own are read and dropped, since a server may send a
+surplus answer. Data outside an exchange closes the connection. An answer without framing is
+complete when the server closes the connection in order; a reset truncates it.
 """
 
 from __future__ import annotations
@@ -25,18 +24,18 @@
     find_header,
 )
 
-#: Milliseconds that sent bytes may stay unacknowledged before the connection is given up.
+#: Milliseconds after which unacknowledged data ends the connection.
 USER_TIMEOUT_MS = 800
-#: Seconds of silence before keep-alive probes, and between them; probes without an answer.
+#: TCP keep-alive: idle seconds before the first probe, seconds between probes, unanswered probes.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-#: Idle connections are not used again this close to the end that the server announced.
+#: Seconds before the announced end of keep-alive in which a connection is not reused.
 KEEPALIVE_MARGIN_S = 0.5
 
 
 def set_socket_options(transport: asyncio.BaseTransport) -> None:
-    """Make the system end a connection whose other side has gone silent."""
+    """Set TCP options that detect an unresponsive peer."""
     raw = transport.get_extra_info("socket")
     if raw is None:
         return
@@ -49,10 +48,10 @@
 
 
 class Exchange(msgspec.Struct):
-    """One request on a connection: where its progress goes and which answers are its own.
+    """One request on a connection, and the callbacks for its answer.
 
-    ``on_head`` is shown the head of every answer before that, also of one to an earlier request:
-    whoever is at the other end has written it.
+    ``deliver`` receives the parts of the answer. ``on_head`` is called with the head of every
+    answer, including those that ``is_own`` then rejects. ``no_body``: the answer has no body.
     """
 
     deliver: Callable[[RequestEvent], None]
@@ -62,7 +61,7 @@
 
 
 class ReplicaConnection(asyncio.Protocol):
-    """One connection. :meth:`start` begins an exchange; ``on_idle`` tells that it is over."""
+    """One connection. :meth:`start` begins an exchange; ``on_idle`` is called when it has ended."""
 
     def __init__(self, on_idle: Callable[[ReplicaConnection], None]) -> None:
         self._on_idle = on_idle
@@ -82,10 +81,10 @@
         self.reusable_until_s = float("inf")
         self.exchanges = 0
 
-    # Use of the connection.
+    # Use of the connection
 
     def start(self, message: bytes, exchange: Exchange) -> None:
-        """Send a request; its progress goes to the exchange until an end or a break."""
+        """Send a request; ``exchange`` receives the answer up to its end or truncation."""
         assert self._transport is not None and self._exchange is None
         self._exchange = exchange
         self.exchanges += 1
@@ -94,18 +93,18 @@
         self._transport.write(message)
 
     def abandon(self) -> None:
-        """End the exchange without waiting for its answer: the connection closes."""
+        """End the exchange without its answer and close the connection."""
         self._exchange = None
         self.close()
 
     def close(self) -> None:
-        """Close at once; what is unsent is dropped."""
+        """Close at once; unsent data is dropped."""
         self.closed = True
         if self._transport is not None and not self._transport.is_closing():
             self._transport.abort()
 
     def is_usable(self, now_s: float) -> bool:
-        """Whether another exchange may start on this idle connection."""
+        """Whether a new exchange may start at ``now_s``."""
         return (
             not self.closed
             and self._exchange is None
@@ -115,38 +114,38 @@
         )
 
     def pause(self) -> None:
-        """Stop reading: the reader of the answer is behind."""
+        """Pause reading (backpressure)."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Read again."""
+        """Resume reading."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.resume_reading()
 
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport and set its socket options."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         set_socket_options(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Parse; bytes outside an exchange belong to nobody."""
+        """Parse received data; close the connection if no exchange is in progress."""
         if self._exchange is None or self._parser is None:
             self.close()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._fail("the answer switches protocols")
+            self._fail("sent a protocol upgrade")
         except httptools.HttpParserError as error:
-            # Whatever a callback has already taken as whole stays whole; the rest is surplus.
-            self._fail(f"not HTTP: {type(error).__name__}")
+            # An answer that a callback has already completed stays complete.
+            self._fail(f"sent invalid HTTP: {type(error).__name__}")
 
     def eof_received(self) -> bool:
-        """An orderly end completes an answer without framing and tears every other."""
+        """Complete an answer without framing; any other answer is truncated."""
         if (
             self._exchange is not None
             and self._in_answer
@@ -157,14 +156,14 @@
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is gone."""
+        """Truncate the exchange in progress."""
         self.closed = True
         self._fail(_close_reason(error), silent=isinstance(error, TimeoutError))
 
     # httptools callbacks
 
     def on_message_begin(self) -> None:
-        """A status line begins."""
+        """Reset the state for a new answer."""
         self._headers = []
         self._reason = b""
         self._in_answer = True
@@ -172,15 +171,15 @@
             self.close()
 
     def on_status(self, reason: bytes) -> None:
-        """Collect the reason phrase, which may come in pieces."""
+        """Append to the reason phrase, which may arrive in pieces."""
         self._reason += reason
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header."""
+        """Append a header."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Hand the head over if the answer is this exchange's."""
+        """Deliver the head if the answer belongs to the exchange."""
         if self._exchange is None or self._parser is None:
             return
         status = self._parser.get_status_code()
@@ -196,19 +195,19 @@
         self._is_own_answer = self._exchange.is_own(head)
         if not self._is_own_answer:
             if self._until_close:
-                self._fail("an answer to another request, without framing")
+                self._fail("sent an answer to another request, without framing")
             return
         self._exchange.deliver(head)
         if self._exchange.no_body:
             self._complete(reusable=False)
 
     def on_body(self, data: bytes) -> None:
-        """Hand body bytes over."""
+        """Deliver body data of the exchange's answer."""
         if self._is_own_answer and self._exchange is not None and not self._interim:
             self._exchange.deliver(AnswerData(data))
 
     def on_message_complete(self) -> None:
-        """The message is whole by its framing."""
+        """Complete the exchange if this was its final answer."""
         self._in_answer = False
         if self._interim or not self._is_own_answer or self._exchange is None:
             return
@@ -227,8 +226,8 @@
         for pair in announced.split(b","):
             name, _, value = pair.strip().partition(b"=")
             if name.strip().lower() == b"timeout" and value.strip().isdigit():
-                rest_s = max(0.0, int(value) - KEEPALIVE_MARGIN_S)
-                self.reusable_until_s = self._loop.time() + rest_s
+                usable_s = max(0.0, int(value) - KEEPALIVE_MARGIN_S)
+                self.reusable_until_s = self._loop.time() + usable_s
 
     def _complete(self, *, reusable: bool) -> None:
         exchange, self._exchange = self._exchange, None
@@ -252,7 +251,7 @@
 def _close_reason(error: Exception | None) -> str:
     if error is None:
         return "closed"
-    return "silent" if isinstance(error, TimeoutError) else "reset"
+    return "timed out" if isinstance(error, TimeoutError) else "reset"
 
 
 def _content_length(headers: Headers) -> int | None:
--- a/winchfork/router/replica_probes.py
+++ b/winchfork/router/replica_probes.py
@@ -1,4 +1,4 @@
-"""Probes whether a replica on which a run broke still listens."""
+"""Probes whether a replica still listens after a run on it broke off."""
 
 from __future__ import annotations
 
@@ -10,23 +10,22 @@
 from winchfork.router.connection_pool import ConnectionPool
 from winchfork.router.state import RouterState
 
-#: Seconds after a break until the replica's port is tried: the other runs of a replica that ends
-#: break within some milliseconds, and one probe serves them all.
+#: Seconds from a broken run to the probe; one probe covers all runs that break in this time.
 PROBE_DELAY_S = 0.03
 
 
 class ReplicaProbes:
-    """Opens a connection to a replica after a break, and keeps it for use if it comes up."""
+    """Opens a connection to a replica after a broken run and records the result."""
 
     def __init__(self, state: RouterState, pool: ConnectionPool) -> None:
         self._state = state
         self._pool = pool
-        #: Incarnations with a probe that has not begun yet.
+        #: Hashes of the incarnations whose probe has not begun yet.
         self._scheduled: set[int] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     def schedule(self, replica: RelayReplica) -> None:
-        """Probe soon, unless that is due already."""
+        """Schedule a probe of this incarnation, unless one is scheduled."""
         if replica.order_hash in self._scheduled:
             return
         self._scheduled.add(replica.order_hash)
@@ -40,7 +39,7 @@
         asked_s = self._state.clock()
         address = replica.listing.address
         limit = self._state.connection_limit(replica.listing.service)
-        # A kept connection says nothing: its end may not have been heard of yet.
+        # An idle connection proves nothing: its end may not have been detected yet.
         connection = await self._pool.open_new(address, limit)
         if not isinstance(connection, Failure):
             self._pool.release(address, connection)
--- a/winchfork/router/replica_search.py
+++ b/winchfork/router/replica_search.py
@@ -1,7 +1,7 @@
-"""The search for a replica that one request may be sent to now, or will be in time.
+"""The search for a replica for one request.
 
-A request waits for a replica that will take work before its time is up, and is refused at once
-where none will. Where every replica has named a limit, requests wait for places in a queue.
+A request waits for a replica that will accept it before its deadline and is refused at once if none
+will. If every replica has a request limit, requests wait for permits in a queue.
 """
 
 from __future__ import annotations
@@ -28,15 +28,18 @@
 from winchfork.router.request_retries import RequestRetries
 from winchfork.router.state import RouterState
 
-#: Pause between looks for a replica while none is available.
+#: Seconds between checks for an available replica.
 POLL_INTERVAL_S = 0.03
-#: Names of the times that a waiting request is told of.
+#: Names of the timers of a request.
 DEADLINE = "deadline"
-_POLL = "look_again"
+_POLL = "poll"
 
 
 class _Availability(msgspec.Struct, frozen=True):
-    """When a replica will take the request, infinite if none will, and until when it waits."""
+    """Seconds until a replica is expected to accept the request, infinite if none will.
+
+    ``max_wait_s`` bounds how many seconds the request may wait from now.
+    """
 
     in_s: float
     max_wait_s: float
@@ -47,7 +50,7 @@
 
 
 class ReplicaSearch:
-    """Searches for one request; ``tried`` holds the replicas that it was sent to before."""
+    """Searches for one request; ``attempted`` holds the replicas that it was sent to before."""
 
     def __init__(
         self,
@@ -70,9 +73,9 @@
         self._waits_for_permit = False
 
     async def find(self, ran: Callable[[], RunState]) -> RelayDecision | Failure | Stopped:
-        """Choose a replica; wait for one that will take work in time, and for no other.
+        """Return a placement, after a wait if a replica is expected to accept in time.
 
-        ``ran`` says whether the request may have run.
+        ``ran`` returns whether the request may have run.
         """
         try:
             return await self._find(ran)
@@ -80,7 +83,7 @@
             self._leave_queue()
 
     def excluded(self) -> set[str]:
-        """Return the replicas that were tried, or that another suspected request has to itself."""
+        """Return the attempted replicas and those reserved for another suspect request."""
         replicas = self._state.fleet.of_service(self._planner.service)
         return self._attempted | self._crashes.excluded_replicas(self._admitted.digest, replicas)
 
@@ -104,41 +107,43 @@
                 return Stopped(StopCause.DEADLINE)
 
     def _check(self) -> RelayDecision | _Availability:
-        """Return a replica that takes the request now, or when one will."""
-        most_s = self._retries.latest_start_in_s(self._planner.min_run_s())
+        """Return a placement for now, or when one is expected."""
+        max_wait_s = self._retries.latest_start_in_s(self._planner.min_run_s())
         if not self._crashes.may_run(self._admitted.digest):
-            return _Availability(POLL_INTERVAL_S, most_s)
-        barred = self.excluded()
-        decision = self._planner.place(barred)
+            return _Availability(POLL_INTERVAL_S, max_wait_s)
+        excluded = self.excluded()
+        decision = self._planner.place(excluded)
         if decision is not None and decision.replica.notice.limit.per_s is None:
-            # Places are not scarce: nearly every request is spared another look at all replicas.
+            # No queue is needed: skip the search for permits.
             return decision
-        places = self._planner.permit_openings(self._attempted)
-        if places is not None:
-            return self._check_queue(decision, places, most_s)
+        permits = self._planner.permit_openings(self._attempted)
+        if permits is not None:
+            return self._check_queue(decision, permits, max_wait_s)
         self._leave_queue()
         if decision is not None:
             return decision
-        if barred != self._attempted:
-            return _Availability(POLL_INTERVAL_S, most_s)
-        opening_s = self._planner.next_available_in_s(self._attempted)
-        return _Availability(math.inf if opening_s is None else opening_s, most_s)
+        if excluded != self._attempted:
+            return _Availability(POLL_INTERVAL_S, max_wait_s)
+        available_in_s = self._planner.next_available_in_s(self._attempted)
+        return _Availability(math.inf if available_in_s is None else available_in_s, max_wait_s)
 
     def _check_queue(
         self, decision: RelayDecision | None, permits: list[PermitOpening], max_wait_s: float
     ) -> RelayDecision | _Availability:
-        """Return a replica if its place is this request's, or when one will be."""
+        """Return ``decision`` if this request is next for a permit, or when it will be."""
         if self._ticket is None:
             self._ticket = self._queue.join(self._admitted.priority)
-        opens_s = permit_in_s(permits, self._queue.ahead(self._ticket))
-        if decision is not None and opens_s <= 0.0:
+        in_s = permit_in_s(permits, self._queue.ahead(self._ticket))
+        if decision is not None and in_s <= 0.0:
             return decision
-        patient_s = max_permit_wait_s(permits, self._admitted.route.target_latency_s)
+        queueing_limit_s = max_permit_wait_s(permits, self._admitted.route.target_latency_s)
         waited_s = self._retries.waited_s
-        return _Availability(max(opens_s, POLL_INTERVAL_S), min(max_wait_s, patient_s - waited_s))
+        return _Availability(
+            max(in_s, POLL_INTERVAL_S), min(max_wait_s, queueing_limit_s - waited_s)
+        )
 
     def _count_wait(self) -> None:
-        """Count once that the request waits for a place of a limited replica."""
+        """Count, once per request, that it waits for a permit."""
         if self._ticket is not None and not self._waits_for_permit:
             self._waits_for_permit = True
             self._state.metrics.limit_effects.labels("waited").inc()
@@ -148,18 +153,18 @@
             self._queue.leave(self._ticket)
             self._ticket = None
 
-    def _no_replica(self, opening_s: float, ran: RunState) -> Failure:
-        """Return why nothing is sent, and when one is expected to take work."""
+    def _no_replica(self, available_in_s: float, ran: RunState) -> Failure:
+        """Return the failure with the reason and the expected time until a replica is available."""
         service = self._planner.service
-        reason = f"no replica of {service} takes work in time"
-        closed = self._state.replica_selector.describe_unavailable(service)
+        reason = f"no replica of {service} accepts requests in time"
+        details = self._state.replica_selector.describe_unavailable(service)
         if self._ticket is not None:
             self._state.metrics.limit_effects.labels("refused").inc()
-        again_s: float | None = opening_s
-        if math.isinf(opening_s):
-            again_s = self._state.replica_selector.fleet_permit_interval_s(service)
+        retry_after_s: float | None = available_in_s
+        if math.isinf(available_in_s):
+            retry_after_s = self._state.replica_selector.fleet_permit_interval_s(service)
         return FailureKind.NO_REPLICA.because(
-            f"{reason}: {closed}" if closed else reason,
+            f"{reason}: {details}" if details else reason,
             ran=ran,
-            retry_after_s=again_s or self._state.settings.bounds.heartbeat_s,
+            retry_after_s=retry_after_s or self._state.settings.bounds.heartbeat_s,
         )
--- a/winchfork/router/request_admission.py
+++ b/winchfork/router/request_admission.py
@@ -1,4 +1,4 @@
-"""Which requests may run: their route and their tenant, as of the configuration in force."""
+"""Admission of requests: finds the route and the tenant in the current configuration."""
 
 from __future__ import annotations
 
@@ -11,37 +11,38 @@
 from winchfork.router.http_types import IncomingRequest
 from winchfork.router.state import RouterState
 
-#: With proofs older than this, an unknown route or key may just be new: not now, not "no".
+#: Seconds since the configuration was proven current up to which an unknown route or key is final;
+#: later it may have been added meanwhile, and the caller is asked to retry.
 MAX_CERTAIN_AGE_S = 1.9
-#: Wait told to callers while the configuration is unknown or stale.
+#: Retry-After in seconds while the configuration is unknown or stale.
 STALE_RETRY_AFTER_S = 1.5
 
 
 class AdmittedRequest(msgspec.Struct, frozen=True):
-    """A request that may run: its route, its tenant and what its headers say."""
+    """An admitted request: its route, its tenant and the fields of its headers."""
 
     route: Route
     tenant: TenantPolicy | None
     fields: RequestFields
-    #: The same for each try of the same request by the same caller.
+    #: Equal for all attempts of the same request by the same caller.
     digest: bytes = b""
 
     @property
     def priority(self) -> int:
-        """The priority in force: the tenant's before the route's."""
+        """The tenant's priority if it has one, else the route's."""
         if self.tenant is not None and self.tenant.priority is not None:
             return self.tenant.priority
         return self.route.priority
 
 
 class RequestAdmission:
-    """Admits requests on the beliefs of one process."""
+    """Admits requests by the state of one process."""
 
     def __init__(self, state: RouterState) -> None:
         self._state = state
 
     def admit(self, request: IncomingRequest, fields: RequestFields) -> AdmittedRequest | Failure:
-        """Find the route and the tenant of a request, or say why it may not run."""
+        """Return the request with its route and tenant, or the reason of its refusal."""
         table = self._state.routing_table
         if table is None:
             return FailureKind.CONFIGURATION_UNKNOWN.because(
@@ -65,7 +66,8 @@
             if not certain:
                 return self._stale("the key is not known")
             return FailureKind.UNAUTHENTICATED.because(
-                "the key is missing or unknown", remedy="send a key that the operators hold"
+                "the key is missing or unknown",
+                remedy="send a key that the operators have configured",
             )
         if not self._state.api_keys_fresh:
             return self._stale("the key cannot be checked")
--- a/winchfork/router/request_record.py
+++ b/winchfork/router/request_record.py
@@ -1,4 +1,4 @@
-"""What is noted of one request on its way, and its lines in the log."""
+"""The record of one request: times, attempts and outcome, and its log lines and metrics."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RequestRecord(msgspec.Struct):
-    """Times and outcome of one request. Times are monotonic seconds."""
+    """Times and outcome of one request; ``..._at_s`` are seconds of ``clock``."""
 
     state: RouterState
     request_id: str
@@ -31,16 +31,16 @@
     first_event_s: float | None = None
     last_event_at_s: float = 0.0
     longest_gap_s: float = 0.0
-    #: Why the last repeat that was asked for was denied; empty if it was granted.
+    #: Why the last retry was denied; empty if it was granted.
     retry_denied: str = ""
 
     def mark_sent(self) -> None:
-        """An attempt begins."""
+        """Record the start of an attempt."""
         self.attempts += 1
         self.sent_at_s = self.clock()
 
     def mark_events(self) -> None:
-        """One or more events have been passed on to the caller."""
+        """Record that events were sent to the caller."""
         now_s = self.clock()
         if self.first_event_s is None:
             self.first_event_s = now_s - self.received_at_s
@@ -51,7 +51,7 @@
     def log_sent(
         self, decision: RelayDecision, plan: AttemptPlan, family: str | None, left_s: float
     ) -> None:
-        """Write what decided the placement of an attempt."""
+        """Log the placement of an attempt; ``left_s`` is the time left to the deadline."""
         log_event(
             "request_sent",
             id=self.request_id,
@@ -76,12 +76,14 @@
         )
 
     def _weights_left_s(self, plan: AttemptPlan) -> float | None:
-        """Return how much longer requests may begin on the weights; None without a bound."""
-        due_s = self.state.replica_selector.weights_expire_at_s(plan.model, plan.weights_version)
-        return None if math.isinf(due_s) else due_s - self.clock()
+        """Return the seconds until the weights expire; None if they do not."""
+        expires_at_s = self.state.replica_selector.weights_expire_at_s(
+            plan.model, plan.weights_version
+        )
+        return None if math.isinf(expires_at_s) else expires_at_s - self.clock()
 
     def log_done(self, ran: RunState, events: int) -> None:
-        """Write and count how the request ended."""
+        """Log and count the outcome; ``events`` were sent to the caller."""
         took_s = self.clock() - self.received_at_s
         metrics = self.state.metrics
         metrics.requests.labels(self.outcome).inc()
--- a/winchfork/router/request_retries.py
+++ b/winchfork/router/request_retries.py
@@ -1,4 +1,4 @@
-"""Whether one request may be sent once more: its sends, its time, and the budget of all repeats."""
+"""Limits on the retries of one request: attempts, time left and the retry budget."""
 
 from __future__ import annotations
 
@@ -8,21 +8,20 @@
 from winchfork.router.request_record import RequestRecord
 from winchfork.router.state import RouterState
 
-#: A repeat needs this much time to be worth sending.
+#: Shortest time to the deadline for a retry, in seconds.
 MIN_TIME_LEFT_S = 0.03
 
 
 class RetryDenial(enum.Enum):
-    """Why a request is not sent once more."""
+    """Why a request is not retried."""
 
-    #: It was sent to as many replicas as its route allows.
     ATTEMPTS = "sends"
     TIME = "time"
     BUDGET = "budget"
 
 
 class RequestRetries:
-    """The repeats of one request, which is over at ``ends_at_s``."""
+    """The retries of one request, whose deadline is ``ends_at_s`` on the state's clock."""
 
     def __init__(
         self,
@@ -40,24 +39,24 @@
 
     @property
     def time_left_s(self) -> float:
-        """Seconds until the request's time is up."""
+        """Seconds until the deadline."""
         return self.ends_at_s - self._state.clock()
 
     @property
     def waited_s(self) -> float:
-        """Seconds since the request came, or since it was last sent."""
+        """Seconds since the request was received or last sent."""
         return self._state.clock() - max(self.record.received_at_s, self.record.sent_at_s)
 
-    def latest_start_in_s(self, run_s: float) -> float:
-        """Return in how many seconds a run has to begin that takes ``run_s`` and ends in time."""
-        return self.time_left_s - max(MIN_TIME_LEFT_S, run_s)
+    def latest_start_in_s(self, expected_run_s: float) -> float:
+        """Return within how many seconds a run has to begin to end before the deadline."""
+        return self.time_left_s - max(MIN_TIME_LEFT_S, expected_run_s)
 
     def has_attempts_left(self, max_attempts: int) -> bool:
-        """Whether sends and time are left, whatever the budget says."""
+        """Whether attempts and time are left; the retry budget is not checked."""
         return self.record.attempts < max_attempts and self.time_left_s >= MIN_TIME_LEFT_S
 
     def try_spend(self, max_attempts: int, reserve: float = 0.0) -> bool:
-        """Spend one repeat of the budget, of which ``reserve`` is left; False if it may not be."""
+        """Spend one retry and leave a share ``reserve`` of the budget; return False if denied."""
         denial = self._denial(max_attempts, reserve)
         self.record.retry_denied = denial.value if denial is not None else ""
         return denial is None
--- a/winchfork/router/service.py
+++ b/winchfork/router/service.py
@@ -1,4 +1,4 @@
-"""The callers' side of a router process: admits requests and tracks connections."""
+"""The caller-facing part of a router process: admits requests and tracks connections."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 
 
 class RefusedRequest:
-    """A request that has been answered without an attempt."""
+    """A request that was refused without an attempt."""
 
     def caller_disconnected(self) -> None:
-        """Nothing to stop."""
+        """Do nothing: there is no attempt to stop."""
 
     def set_backpressure(self, paused: bool) -> None:
-        """Nothing to slow down."""
+        """Do nothing: there is no attempt to pause."""
 
 
 class RouterService:
-    """Serves callers with the state of this process."""
+    """Serves callers by the state of this process."""
 
     def __init__(self, state: RouterState, pool: ConnectionPool, header_codec: HeaderCodec) -> None:
         self.state = state
         self.pool = pool
         self.header_codec = header_codec
-        #: Set late in a planned stop: requests that come now are refused as not run.
+        #: Set in the last part of a planned stop: new requests are refused as not run.
         self.refusing_requests = False
         self._admission = RequestAdmission(state)
         self._quota_gate = QuotaGate(state.quotas, state.clock, state.metrics)
@@ -55,25 +55,25 @@
     # CallerHandler
 
     def limits(self) -> CallerLimits:
-        """Return the limits in force."""
+        """Return the configured limits of callers."""
         return self.state.routing_table.limits if self.state.routing_table else _DEFAULT_LIMITS
 
     def connection_opened(self, connection: CallerConnection) -> None:
-        """Track a connection."""
+        """Add a connection."""
         self._connections.add(connection)
 
     def connection_closed(self, connection: CallerConnection) -> None:
-        """Forget a connection."""
+        """Remove a connection."""
         self._connections.discard(connection)
 
     def start_request(
         self, connection: CallerConnection, request: IncomingRequest
     ) -> ActiveRequest:
-        """Admit and start a request, or refuse it at once."""
+        """Admit and start a request, or refuse it."""
         if self.state.stopping:
             connection.close_after_answer = True
         if self.refusing_requests:
-            stopping = FailureKind.STOPPING.because("this daemon stops", retry_after_s=0.05)
+            stopping = FailureKind.STOPPING.because("this daemon is stopping", retry_after_s=0.05)
             return self._refuse(connection, stopping, None)
         fields = self.header_codec.read_request(request.headers)
         if isinstance(fields, Failure):
@@ -81,9 +81,9 @@
         admitted = self._admission.admit(request, fields)
         if isinstance(admitted, Failure):
             return self._refuse(connection, admitted, fields.request_id)
-        ends_replicas = self.state.crashes.refusal(admitted.digest)
-        if ends_replicas is not None:
-            return self._refuse(connection, ends_replicas, fields.request_id)
+        refusal = self.state.crashes.refusal(admitted.digest)
+        if refusal is not None:
+            return self._refuse(connection, refusal, fields.request_id)
         charge = self._quota_gate.admit(admitted.tenant, fields.declared_tokens)
         if isinstance(charge, Failure):
             return self._refuse(connection, charge, fields.request_id)
@@ -94,7 +94,7 @@
         return active
 
     def refuse_malformed(self, connection: CallerConnection, failure: Failure) -> None:
-        """Answer what is not a request, and end the connection."""
+        """Refuse invalid input; the connection closes after the answer."""
         self._refuse(connection, failure, None)
 
     def _refuse(
@@ -126,25 +126,25 @@
         for replica in lost:
             self._replica_silent(replica)
 
-    # Duties
+    # Maintenance
 
     @property
     def active_requests(self) -> int:
-        """Requests being served."""
+        """The number of requests in progress."""
         return len(self._tasks)
 
     @property
     def busy_connections(self) -> int:
-        """Callers' connections with a request on them."""
+        """The number of callers' connections with a request."""
         return sum(1 for connection in self._connections if connection.busy)
 
     def sweep(self, now_s: float) -> None:
-        """End connections that take too long; close idle ones to replicas."""
+        """Enforce the timeouts of callers' connections; close idle connections to replicas."""
         for connection in list(self._connections):
             connection.enforce_timeouts(now_s)
         self.pool.sweep(now_s)
 
     def close_callers_when_idle(self) -> None:
-        """End every caller's connection after its answer, idle ones now."""
+        """Close every caller's connection after its answer, idle ones at once."""
         for connection in list(self._connections):
             connection.close_when_idle()
--- a/winchfork/router/settings.py
+++ b/winchfork/router/settings.py
@@ -1,4 +1,4 @@
-"""What a router process is started with. Times in seconds, addresses as ``IP:PORT``."""
+"""Settings of a router process. Times are in seconds, addresses are ``IP:PORT``."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class RouterBounds(msgspec.Struct, frozen=True):
-    """The deployment's promises in figures.
+    """Time bounds, limits and tolerances that the deployment sets.
 
-    ``contact_s`` is how long the store must have been sound to count as stable.
+    ``contact_s`` is how long the store has to be reachable without a failure to count as stable.
     """
 
     contact_s: float = 3.0
@@ -35,7 +35,7 @@
 
 
 class RouterSettings(msgspec.Struct, frozen=True):
-    """Who this router is, where it listens, and where the store is."""
+    """The identity, addresses and bounds of a router process."""
 
     node_id: str
     zone: str
@@ -50,8 +50,8 @@
     regions: RegionMap = _NO_REGIONS
     seeds: tuple[str, ...] = ()
     store_min_lease_s: float = 1.0
-    #: What the machine's link carries, in megabits a second; 0 where it is not known.
+    #: Bandwidth of the machine's link in Mbit/s; 0 if unknown.
     link_mbps: int = 0
-    #: Whether operators order rollouts of software here; else every version gets requests.
+    #: Whether software rollouts are enabled; if not, every version gets requests.
     software_rollouts: bool = False
     bounds: RouterBounds = RouterBounds()
--- a/winchfork/router/stream_moves.py
+++ b/winchfork/router/stream_moves.py
@@ -1,7 +1,7 @@
-"""Moves a request that is under way to another replica, where that is allowed and worth it.
+"""Moves a request in progress to another replica, if its route allows that and it is worthwhile.
 
-A daemon that stops moves nothing: the next replica may refuse, and what is under way may be
-finished in the time that it has left.
+A daemon that is stopping moves nothing: the next replica may refuse, while the attempt in progress
+may still complete.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from winchfork.router.request_retries import RequestRetries
 from winchfork.router.state import RouterState
 
-#: A replica that has said something more recently than this is heard, whatever others say of it.
+#: Seconds without data after which an attempt at a replica reported as unreachable is given up.
 MIN_SILENCE_S = 0.3
-#: Seconds before the end of a bound at which what has not begun is withdrawn: for the withdrawal's
-#: way, and for what a daemon heard of the newer version after it was named.
+#: Seconds before the weights expire at which a stream that has not begun is withdrawn; covers the
+#: delays of the withdrawal and of the announcement of the newer version.
 WITHDRAWAL_LEAD_S = 0.3
-#: Part of the retry budget that streams which move away from a load leave to failures.
+#: Share of the retry budget that moves away from a weights load leave for failures.
 _FAILURE_RESERVE = 0.5
 
 
 class StreamMoves:
-    """The moves of one request; ``tried`` holds the replicas that it was sent to before."""
+    """The moves of one request; ``attempted`` holds the replicas that it was sent to before."""
 
     def __init__(
         self,
@@ -44,11 +44,11 @@
         self._route = retries.route
         self._attempted = attempted
         self._inbox = inbox
-        #: What is under way; None between attempts.
+        #: The attempt in progress; None between attempts.
         self.attempt: Attempt | None = None
 
     async def run_attempt(self, attempt: Attempt) -> Outcome:
-        """Run an attempt to its end, or until it is moved away."""
+        """Run an attempt until it ends or is moved."""
         self.attempt = attempt
         withdrawal = self._schedule_withdrawal(attempt.plan)
         try:
@@ -59,10 +59,9 @@
             self.attempt = None
 
     def replica_held(self, replica: RelayReplica) -> None:
-        """Move a stream away from a replica that loads weights next, if that is worth it.
+        """Move a resumable stream away from a replica that loads weights next, if worthwhile.
 
-        A load waits for the runs that are under way. A move reads the prompt once more and draws on
-        the retry budget, of which a part is left to failures.
+        The load waits for the runs in progress. A move repeats the prefill and spends a retry.
         """
         if not self._is_at(replica) or not self._route.resumable or self._state.stopping:
             return
@@ -75,10 +74,7 @@
             self._move("stream_moves", replica)
 
     def replica_unreachable(self, replica: RelayReplica) -> None:
-        """Go on elsewhere at once where that is allowed: this answer will not come.
-
-        Waiting for the connection's own time-out costs a caller some seconds of silence.
-        """
+        """Move a repeatable request without waiting for the connection to time out."""
         attempt = self.attempt
         if attempt is None or not self._is_at(replica) or not self._route.repeatable:
             return
@@ -90,16 +86,17 @@
             self._move("answer_given_up", replica)
 
     def _schedule_withdrawal(self, plan: AttemptPlan) -> asyncio.TimerHandle | None:
-        """Arrange for a stream to be withdrawn that has not begun when its weights' time ends.
+        """Schedule a withdrawal, for a stream that has not begun shortly before its weights expire.
 
-        How long it waits at its replica is a forecast, which prompts that other daemons send at the
-        same moment make too short.
+        The expected start may be too early, since other daemons send prompts at the same time.
         """
-        due_s = self._state.replica_selector.weights_expire_at_s(plan.model, plan.weights_version)
-        if not self._route.resumable or due_s >= self._retries.ends_at_s:
+        expires_at_s = self._state.replica_selector.weights_expire_at_s(
+            plan.model, plan.weights_version
+        )
+        if not self._route.resumable or expires_at_s >= self._retries.ends_at_s:
             return None
         loop = asyncio.get_running_loop()
-        return loop.call_at(due_s - WITHDRAWAL_LEAD_S, self._withdraw, plan.replica)
+        return loop.call_at(expires_at_s - WITHDRAWAL_LEAD_S, self._withdraw, plan.replica)
 
     def _withdraw(self, replica: RelayReplica) -> None:
         attempt = self.attempt
--- a/winchfork/router/text_server.py
+++ b/winchfork/router/text_server.py
@@ -1,4 +1,4 @@
-"""Small pages for machines that ask: readiness and metrics."""
+"""A minimal HTTP server for the readiness and metrics pages."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from winchfork.router.http_types import REASONS, render_headers
 
-#: Returns status, content type and body for a path.
+#: Returns the status, content type and body for a path.
 PageReader = Callable[[str], tuple[int, bytes, bytes]]
 
 
 class TextConnection(asyncio.Protocol):
-    """Answers GET requests from memory."""
+    """One connection; answers each request with the page for its path."""
 
     def __init__(self, read_page: PageReader) -> None:
         self._read_page = read_page
@@ -23,12 +23,12 @@
         self._target = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Parse; what is not HTTP ends the connection."""
+        """Parse received data; close the connection on invalid HTTP."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -36,25 +36,25 @@
                 self._transport.close()
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Reset the state for a new request."""
         self._target = b""
 
     def on_url(self, url: bytes) -> None:
-        """Collect the target."""
+        """Append to the target, which may arrive in pieces."""
         self._target += url
 
     def on_message_complete(self) -> None:
-        """Answer."""
+        """Write the page."""
         path = self._target.partition(b"?")[0].decode("latin-1")
         status, content_type, body = self._read_page(path)
-        keep = self._parser.should_keep_alive()
+        keep_alive = self._parser.should_keep_alive()
         headers = [
             (b"Content-Type", content_type),
             (b"Content-Length", str(len(body)).encode()),
-            (b"Connection", b"keep-alive" if keep else b"close"),
+            (b"Connection", b"keep-alive" if keep_alive else b"close"),
         ]
         line = b"HTTP/1.1 %d %s" % (status, REASONS.get(status, b"Unknown"))
         if self._transport is not None:
             self._transport.write(render_headers(line, headers) + body)
-            if not keep:
+            if not keep_alive:
                 self._transport.close()
--- a/winchfork/router/unknown_headers.py
+++ b/winchfork/router/unknown_headers.py
@@ -1,4 +1,4 @@
-"""Headers that say something of their sender which this build does not know."""
+"""Counts headers with names that this build does not know."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class UnknownHeaderCounter:
-    """Counts them by name; of so many names each is told once, and more are not told apart."""
+    """Counts unknown headers by name, up to ``max_names`` different names."""
 
     def __init__(self, counts: LabelledMetric[CounterChild], max_names: int) -> None:
         self._counts = counts
@@ -14,7 +14,10 @@
         self._names: set[str] = set()
 
     def count(self, name: str) -> bool:
-        """Count one; True when its name is to be told."""
+        """Count a header; return whether its name is new and should be logged.
+
+        Beyond ``max_names`` names, new ones are neither counted nor logged.
+        """
         is_new = name not in self._names
         if is_new and len(self._names) >= self._max_names:
             return False
