--- a/tests/relay_case.py
+++ b/tests/relay_case.py
@@ -1,4 +1,4 @@
-"""A test case for the real data path: a router before scripted replicas, all stopped at its end."""
+"""A test case that runs a router service in front of scripted replicas on loopback."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from tests.relay_support import ReceivedAnswer, RelayUnderTest, ScriptedReplica
 
-#: Headers of a prompt of 100 tokens in two parts, whose answer has 20.
+#: Headers of a prompt of 100 tokens in two parts, with 20 output tokens.
 PROMPT_HEADERS = "X-Model: m\r\nX-Token-Usage: 100,20\r\nX-Prefix-Hash: aa:60,bb:40\r\n"
 
 
@@ -16,7 +16,7 @@
         relay.configure()
         for number, replica in enumerate(replicas):
             await replica.start()
-            # The first is near and is chosen first; the others are in another zone.
+            # The first replica is in the router's zone and is preferred.
             zone = "z1" if number == 0 else "z2"
             relay.add(replica, f"i-{number}", versions={"m": 1}, zone=zone)
             self.addAsyncCleanup(replica.stop)
--- a/tests/relay_support.py
+++ b/tests/relay_support.py
@@ -1,4 +1,4 @@
-"""The real relaying path on loopback: scripted replicas, a router service, raw callers."""
+"""Support for tests of the relay path: scripted replicas, a router service and raw callers."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 from winchfork.router.state import RouterState
 
 KEY = "key-of-the-school"
-#: The key of a tenant that comes before all others.
+#: The key of a tenant with the highest priority.
 URGENT_KEY = "urgent-key"
-#: Bound against hanging; no test asserts a time.
+#: Timeout of a call in seconds, against hanging tests.
 HANG_TIMEOUT_S = 10.0
 
 
 @dataclasses.dataclass
 class ReceivedRequest:
-    """A request as a replica read it."""
+    """A request as received by a replica; header names are in lower case."""
 
     line: str
     headers: dict[str, str]
@@ -72,7 +72,7 @@
 
 
 class ScriptedReplica:
-    """Answers each request by the next script; the last script stays."""
+    """Answers each request by the next script; the last script is repeated."""
 
     def __init__(self, *scripts: Script) -> None:
         self.scripts = list(scripts)
@@ -123,7 +123,7 @@
 
 
 def answering(data: Callable[[ReceivedRequest], bytes], keep_open: bool = True) -> Script:
-    """Return a script that writes bytes and keeps or closes the connection."""
+    """Return a script that writes bytes and then keeps or closes the connection."""
 
     async def script(
         request: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -143,7 +143,7 @@
     ) -> bool:
         writer.write(data(request))
         await writer.drain()
-        # Let the bytes arrive before the reset overtakes them.
+        # A reset may discard data that the router has not read yet.
         await asyncio.sleep(0.05)
         raw = writer.get_extra_info("socket")
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -156,14 +156,14 @@
 async def never_answering(
     request: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> bool:
-    """Wait until the router closes."""
+    """Wait until the router closes the connection."""
     await reader.readexactly(1)
     return False
 
 
 @dataclasses.dataclass
 class ReceivedAnswer:
-    """What a caller got; ``whole`` is False where the answer ended early."""
+    """An answer as received by a caller; ``whole`` is False if it was truncated."""
 
     status: int
     headers: dict[str, str]
@@ -172,7 +172,7 @@
 
 
 class RelayUnderTest:
-    """One router service before scripted replicas."""
+    """One router service in front of scripted replicas."""
 
     def __init__(self, **route_changes: object) -> None:
         fields: dict[str, object] = {
@@ -197,7 +197,7 @@
         self.port = 0
 
     def configure(self, isolated: bool = False) -> None:
-        """Install a table and prove it current; give the retry budget its slack."""
+        """Install a routing table, mark it as current and release the retry budget's slack."""
         engine = EngineProfile(64, 100_000, 163_840, 1_000_000.0, ("m",))
         table = RoutingTable(
             1,
@@ -213,7 +213,7 @@
         self.state.retry_budget._started_at_s = -1e9
 
     def add(self, replica: ScriptedReplica, replica_id: str, **changes: object) -> None:
-        """List a replica."""
+        """Add a replica to the fleet."""
         fields: dict[str, object] = {"zone": "z1", "slots": 8, "accepting": True}
         fields.update(changes)
         self.state.fleet.install(
@@ -245,7 +245,7 @@
         extra: str = "",
         key: str = KEY,
     ) -> ReceivedAnswer:
-        """Send one request on a connection of its own and read the answer."""
+        """Send one request on a new connection and return the answer."""
         reader, writer = await self.connect()
         writer.write(caller_request(request_id, method, body, extra, key))
         answer = await asyncio.wait_for(read_answer(reader), HANG_TIMEOUT_S)
@@ -260,7 +260,7 @@
     extra: str = "",
     key: str = KEY,
 ) -> bytes:
-    """Return a request's bytes."""
+    """Return the bytes of a request."""
     length = f"Content-Length: {len(body)}\r\n" if body or method == "POST" else ""
     return (
         f"{method} /p/x?q=1 HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: {request_id}\r\n"
@@ -269,7 +269,7 @@
 
 
 async def read_answer(reader: asyncio.StreamReader) -> ReceivedAnswer:
-    """Read one answer; an end before its time is noted, not raised."""
+    """Read one answer; a truncated one is returned with ``whole`` False."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     line, *rest = head.split("\r\n")
     pairs = (text.partition(":") for text in rest if text)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input to each interface: a typed, clear refusal that names the place and the remedy."""
+"""Invalid input to each interface is refused with a typed failure that names the place."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
             path.write_text(text)
             return load_settings(str(path), {})
 
-    def test_good_settings_load(self) -> None:
+    def test_valid_settings_load(self) -> None:
         self.assertNotIsInstance(self._load(_GOOD), Failure)
 
     def test_each_mistake_names_file_key_and_remedy(self) -> None:
@@ -96,8 +96,8 @@
         ('{"rules": [{"name": "r", "traffic_class": "no"}]}', "no known traffic class"),
     )
 
-    def test_configurations_survive_the_schema(self) -> None:
-        """Priority 0 and weight 0 are values: without presence they came back as the defaults."""
+    def test_configurations_round_trip_through_the_schema(self) -> None:
+        """Guards against values of 0 that come back as the defaults."""
         edge = Configuration(
             tenants=(Tenant(name="a"),),
             traffic_classes=(
@@ -139,8 +139,8 @@
         assert isinstance(datagram, bytes)
         self.assertEqual(self.codec.decode(datagram), message)
 
-    def test_a_field_that_a_later_build_adds_changes_nothing(self) -> None:
-        """Builds run beside each other while machines are replaced; the tag proves the sender."""
+    def test_a_field_that_a_later_build_adds_is_ignored(self) -> None:
+        """Builds of different ages run side by side during an update of the fleet."""
         number = MESSAGE_TYPES.index(LookupRequest)
         message = LookupRequest(7, (1,))
         for added in (1, "text", [1, 2], None):
@@ -148,7 +148,7 @@
         unsigned = bytes(16) + bytes([number]) + msgspec.msgpack.encode([7, [1], 1])
         self.assertIsInstance(self.codec.decode(unsigned), Failure)
 
-    def test_every_bad_datagram_is_refused(self) -> None:
+    def test_every_invalid_datagram_is_refused(self) -> None:
         good = self.codec.encode(LookupRequest(7, (1, 2)))
         assert isinstance(good, bytes)
         other = PeerCodec(b"another key of sixteen", MESSAGE_TYPES).encode(LookupRequest(7, (1,)))
@@ -184,7 +184,7 @@
 
 
 class LogTest(unittest.TestCase):
-    def test_no_value_can_forge_a_line_or_a_pair(self) -> None:
+    def test_a_value_cannot_inject_a_line_or_a_pair(self) -> None:
         line = format_event("e", {"prompt": 'x"\nlevel=ERROR event=forged\x1b[31m a=b'})
         self.assertNotIn("\n", line)
         self.assertNotIn("\x1b", line)
--- a/tests/test_forwarded_headers.py
+++ b/tests/test_forwarded_headers.py
@@ -1,4 +1,4 @@
-"""Which of a caller's headers reach a replica: the table of the wire's names, walked whole."""
+"""Guards against callers' headers that impersonate the router towards replicas."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     (b"X-Token-Usage", b"1460,80"),
     (b"X-Prefix-Hash", b"5c1e07a2:800,91bd3f06:410,e4402b7d:250"),
 ]
-#: Names that no page lists but that a replica might understand.
+#: Undocumented names that a replica might understand.
 UNLISTED = (b"Kv-Source", b"X-Kv-Move", b"X-Hold-Ms", b"X-Expected-Sequence", b"X-Tenant", b"x-pin")
 
 
 def spellings(name: bytes) -> Iterator[bytes]:
-    """Yield a name as a caller may spell it."""
+    """Yield the spellings of a name that a caller may use."""
     yield name
     yield name.lower()
     yield name.upper()
@@ -33,7 +33,7 @@
 
 
 def names_of(owner: HeaderOwner) -> list[bytes]:
-    """Return the listed headers of one owner."""
+    """Return the headers of one owner."""
     return [name for name, its_owner in HEADER_OWNERS.items() if its_owner is owner]
 
 
@@ -48,7 +48,7 @@
             if label.isupper() and isinstance(value, bytes):
                 self.assertIn(value, listed, label)
 
-    def test_nothing_that_callers_may_not_set_reaches_a_replica(self) -> None:
+    def test_headers_that_callers_may_not_set_are_removed(self) -> None:
         forbidden = [
             name for name, owner in HEADER_OWNERS.items() if owner is not HeaderOwner.CALLER
         ]
@@ -61,21 +61,21 @@
                             self.assertNotIn(FORGED, values)
 
     def test_a_resumed_run_cannot_be_forged(self) -> None:
-        """A replica without the copy that a forged source names refuses the request."""
+        """A forged copy source would make the replica refuse the request."""
         self.assertFalse(is_forwardable(b"Kv-From"))
         self.assertFalse(is_forwardable(b"kv-from"))
 
-    def test_what_callers_own_travels_on_unchanged(self) -> None:
+    def test_callers_own_headers_are_forwarded_unchanged(self) -> None:
         for name in names_of(HeaderOwner.CALLER):
             for spelled in (name, name.lower(), name.upper()):
                 self.assertEqual(forwarded_headers([(spelled, b"own")]), [(spelled, b"own")])
 
-    def test_headers_of_no_protocol_travel_on(self) -> None:
+    def test_other_headers_are_forwarded(self) -> None:
         for name in (b"Accept", b"Content-Type", b"Cache-Control", b"X-Trace", b"Traceparent"):
             self.assertTrue(is_forwardable(name), name)
 
-    def test_connection_cannot_remove_a_header_of_the_wire(self) -> None:
+    def test_connection_header_cannot_remove_a_protocol_header(self) -> None:
         headers: Headers = [*PROMPT, (b"Connection", b"X-Model, X-Private"), (b"X-Private", b"1")]
-        kept = [name for name, _ in forwarded_headers(headers)]
-        self.assertIn(b"X-Model", kept)
-        self.assertNotIn(b"X-Private", kept)
+        forwarded = [name for name, _ in forwarded_headers(headers)]
+        self.assertIn(b"X-Model", forwarded)
+        self.assertNotIn(b"X-Private", forwarded)
--- a/tests/test_platform_calls.py
+++ b/tests/test_platform_calls.py
@@ -1,4 +1,4 @@
-"""The store's and the replicas' calls on the wire, against scripted servers."""
+"""Calls to the store and to replicas' control interface, against scripted servers."""
 
 from __future__ import annotations
 
@@ -45,8 +45,8 @@
         self.addAsyncCleanup(server.stop)
         self.pool = ConnectionPool()
         self.addCleanup(self.pool.close)
-        self.made: list[str] = []
-        self.calls = PooledHttpClient(self.pool, self.made.append)
+        self.call_labels: list[str] = []
+        self.calls = PooledHttpClient(self.pool, self.call_labels.append)
         return server
 
     async def store(self, *answers: bytes) -> tuple[PlatformStore, ScriptedReplica]:
@@ -55,7 +55,7 @@
 
 
 class StoreCallsTest(CallsTestCase):
-    async def test_a_list_follows_its_pages_and_watches_from_the_first(self) -> None:
+    async def test_a_list_reads_all_pages_and_has_the_position_of_the_first(self) -> None:
         first = {"items": [item("a", b"1", 3)], "more": True, "at": 10}
         second = {"items": [item("b", b"2", 12)], "more": False, "at": 12}
         store, server = await self.store(plain("200 OK", first), plain("200 OK", second))
@@ -68,7 +68,7 @@
         )
         self.assertIn("after=a", server.received[1].line)
 
-    async def test_a_watch_tells_changes_and_removals(self) -> None:
+    async def test_a_watch_returns_changes_and_removals(self) -> None:
         body = {
             "Events": [item("a", b"x", 412), {"PrivateKey": "b", "Revision": 413, "gone": True}],
             "at": 413,
@@ -95,7 +95,7 @@
             assert isinstance(answer, Failure)
             self.assertEqual(answer.kind, kind)
 
-    async def test_an_unreadable_answer_is_a_failure(self) -> None:
+    async def test_an_invalid_answer_is_a_failure(self) -> None:
         store, _ = await self.store(plain("200 OK", {"unexpected": 1}))
         answer = await store.list("")
         assert isinstance(answer, Failure)
@@ -142,7 +142,7 @@
         self.assertIs(await store.renew_lease(StoreLease(0, 77120)), False)
         self.assertIsNone(await store.end_lease(StoreLease(0, 77120)))
         self.assertEqual(server.received[3].line, "DELETE /kv-lease-end/77120 HTTP/1.1")
-        self.assertEqual(self.made.count("kv-keep"), 2)
+        self.assertEqual(self.call_labels.count("kv-keep"), 2)
 
 
 class ReplicaCallsTest(CallsTestCase):
@@ -164,15 +164,15 @@
         self.assertEqual(report, ReplicaReport(2, False, 12, 1, {"daka510000": 1}))
         self.assertIsInstance(await control.report(server.address), Failure)
 
-    async def test_what_their_answers_say_of_the_replica_is_told(self) -> None:
-        leaving = plain("200 OK", {}).replace(b"\r\n", b"\r\nServer-Leaving: 1\r\n", 1)
-        resting = plain("503 Full", {}).replace(b"\r\n", b"\r\nRetry-After: 3\r\n", 1)
-        server = await self.server(leaving, resting)
+    async def test_notices_in_answers_are_reported(self) -> None:
+        draining = plain("200 OK", {}).replace(b"\r\n", b"\r\nServer-Leaving: 1\r\n", 1)
+        backing_off = plain("503 Full", {}).replace(b"\r\n", b"\r\nRetry-After: 3\r\n", 1)
+        server = await self.server(draining, backing_off)
         control = PlatformReplicaControl(self.calls)
-        told: list[AnswerNotice] = []
-        await control.report(server.address, told.append)
-        await control.order(server.address, self.ORDER, lambda: True, told.append)
-        self.assertEqual(told, [AnswerNotice(draining=True), AnswerNotice(backoff_s=3.0)])
+        notices: list[AnswerNotice] = []
+        await control.report(server.address, notices.append)
+        await control.order(server.address, self.ORDER, lambda: True, notices.append)
+        self.assertEqual(notices, [AnswerNotice(draining=True), AnswerNotice(backoff_s=3.0)])
 
     async def test_an_order_carries_fence_sequence_and_replica(self) -> None:
         statuses = {
@@ -202,7 +202,7 @@
             },
         )
 
-    async def test_an_order_that_is_no_longer_allowed_never_leaves(self) -> None:
+    async def test_an_order_that_is_no_longer_allowed_is_not_sent(self) -> None:
         server = await self.server(plain("202 Taken", {}))
         control = PlatformReplicaControl(self.calls)
         answer = await control.order(server.address, self.ORDER, lambda: False)
--- a/tests/test_relay_path.py
+++ b/tests/test_relay_path.py
@@ -1,4 +1,4 @@
-"""Requests through the real data path, before replicas that misbehave."""
+"""Requests over the relay path, with replicas that fail or misbehave."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
         self.assertNotIn("transfer-encoding", replica.received[0].headers)
         writer.close()
 
-    async def test_connections_are_kept_on_both_sides(self) -> None:
+    async def test_connections_are_reused_on_both_sides(self) -> None:
         replica = ScriptedReplica(answering(lambda r: signed(r, b"ok")))
         relay = await self.relay(replica)
         reader, writer = await relay.connect()
@@ -66,7 +66,7 @@
         self.assertEqual(replica.connections, 1)
         writer.close()
 
-    async def test_a_surplus_answer_belongs_to_nobody(self) -> None:
+    async def test_a_surplus_answer_is_not_delivered(self) -> None:
         replica = ScriptedReplica(
             answering(lambda r: signed(r, b"first") + signed(r, b"surplus")),
             answering(lambda r: signed(r, b"second")),
@@ -75,7 +75,7 @@
         self.assertEqual((await relay.ask("id-1")).body, b"first")
         self.assertEqual((await relay.ask("id-2")).body, b"second")
 
-    async def test_a_late_surplus_answer_in_the_place_of_the_next_is_skipped(self) -> None:
+    async def test_a_late_surplus_answer_before_the_next_answer_is_skipped(self) -> None:
         first: list[ReceivedRequest] = []
 
         async def keep_first(
@@ -94,34 +94,34 @@
         self.assertEqual((await relay.ask("id-2")).body, b"second")
         self.assertEqual(replica.connections, 1)
 
-    async def test_an_unframed_answer_is_whole_only_at_an_orderly_end(self) -> None:
+    async def test_an_unframed_answer_is_complete_only_after_an_orderly_close(self) -> None:
         def unframed(request: ReceivedRequest) -> bytes:
             return stream_head(request, framing="") + b"body"
 
         whole = await self.relay(ScriptedReplica(answering(unframed, keep_open=False)))
         answer = await whole.ask()
         self.assertEqual((answer.status, answer.body), (200, b"body"))
-        torn = await self.relay(ScriptedReplica(resetting(unframed)))
-        answer = await torn.ask()
+        truncated = await self.relay(ScriptedReplica(resetting(unframed)))
+        answer = await truncated.ask()
         self.assertEqual(answer.status, 502)
         self.assertNotIn("x-server-signature", answer.headers)
 
-    async def test_a_success_without_proof_of_origin_is_never_passed_on(self) -> None:
+    async def test_a_success_without_proof_of_origin_is_not_delivered(self) -> None:
         def unsigned(request: ReceivedRequest) -> bytes:
             return signed(request, b"rot").replace(b"X-Server-Signature: sig\r\n", b"")
 
         relay = await self.relay(ScriptedReplica(answering(unsigned)), kind=RouteKind.UNSAFE)
         self.assertEqual((await relay.ask(method="POST")).status, 502)
 
-    async def test_nonsense_from_a_replica_is_no_answer(self) -> None:
+    async def test_invalid_http_from_a_replica_is_not_delivered(self) -> None:
         replica = ScriptedReplica(answering(lambda r: b"NONSENSE\r\n\r\n"))
         relay = await self.relay(replica, kind=RouteKind.UNSAFE)
         self.assertEqual((await relay.ask(method="POST")).status, 502)
         self.assertEqual(len(replica.received), 1)
 
 
-class RepeatTest(RelayTestCase):
-    async def test_a_safe_request_is_repeated_elsewhere_after_a_failure(self) -> None:
+class RetryTest(RelayTestCase):
+    async def test_a_safe_request_is_retried_at_another_replica_after_a_failure(self) -> None:
         failing = answering(lambda r: signed(r, b"no", "500 Internal Server Error"))
         good = answering(lambda r: signed(r, b"yes"))
         replicas = [ScriptedReplica(failing), ScriptedReplica(good)]
@@ -129,7 +129,7 @@
         answers = [await relay.ask(f"id-{number}") for number in range(4)]
         self.assertEqual({answer.body for answer in answers}, {b"yes"})
 
-    async def test_attempts_are_bounded_and_the_last_failure_passes(self) -> None:
+    async def test_attempts_are_bounded_and_the_last_failure_is_delivered(self) -> None:
         failing = answering(lambda r: signed(r, b"no", "500 Internal Server Error"))
         replicas = [ScriptedReplica(failing) for _ in range(4)]
         relay = await self.relay(*replicas, max_attempts=2)
@@ -137,7 +137,7 @@
         self.assertEqual((answer.status, answer.headers["x-server-signature"]), (500, "sig"))
         self.assertEqual(sum(len(replica.received) for replica in replicas), 2)
 
-    async def test_an_unsafe_request_is_sent_again_only_after_proof(self) -> None:
+    async def test_an_unsafe_request_is_retried_only_after_proof_of_not_run(self) -> None:
         def refusing(request: ReceivedRequest) -> bytes:
             return b"HTTP/1.1 503 Busy\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 
@@ -149,13 +149,13 @@
         self.assert_not_run(await relay.ask(method="POST"))
         self.assertEqual(sum(len(replica.received) for replica in replicas), 2)
 
-    async def test_an_unsafe_request_that_may_have_run_is_never_sent_again(self) -> None:
+    async def test_an_unsafe_request_that_may_have_run_is_not_retried(self) -> None:
         replicas = [ScriptedReplica(resetting(lambda r: b"")) for _ in range(3)]
         relay = await self.relay(*replicas, kind=RouteKind.UNSAFE, max_attempts=3)
         self.assertEqual((await relay.ask(method="POST")).status, 502)
         self.assertEqual(sum(len(replica.received) for replica in replicas), 1)
 
-    async def test_a_refusal_after_a_run_does_not_promise_not_run(self) -> None:
+    async def test_a_refusal_after_a_possible_run_is_not_reported_as_not_run(self) -> None:
         def refusing(request: ReceivedRequest) -> bytes:
             return b"HTTP/1.1 503 Busy\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 
@@ -168,7 +168,7 @@
         self.assertEqual([len(replica.received) for replica in replicas], [1, 1])
         self.assertEqual(answer.status, 502)
 
-    async def test_a_dead_replica_is_left_for_another_without_a_repeat(self) -> None:
+    async def test_a_refused_connection_does_not_count_as_an_attempt(self) -> None:
         dead, good = (
             ScriptedReplica(never_answering),
             ScriptedReplica(answering(lambda r: signed(r, b"ok"))),
@@ -180,7 +180,7 @@
 
 
 class DrainingTest(RelayTestCase):
-    async def test_a_draining_replica_gets_nothing_new(self) -> None:
+    async def test_a_draining_replica_gets_no_new_requests(self) -> None:
         draining, ready = (ScriptedReplica(answering(lambda r: signed(r, b"ok"))) for _ in range(2))
         relay = await self.relay(draining, ready)
         self.assertEqual((await relay.ask("id-1")).status, 200)
@@ -193,8 +193,8 @@
         self.assert_not_run(await relay.ask("id-9"))
 
 
-class LeavingTest(RelayTestCase):
-    async def test_a_caller_that_leaves_is_carried_to_the_replica(self) -> None:
+class CallerTest(RelayTestCase):
+    async def test_a_disconnect_of_the_caller_ends_the_exchange_with_the_replica(self) -> None:
         replica = ScriptedReplica(never_answering)
         relay = await self.relay(replica)
         _, writer = await relay.connect()
@@ -205,14 +205,14 @@
         await asyncio.wait_for(replica.closed_by_router.wait(), 10.0)
         self.assertEqual(relay.state.fleet.get("i-0").in_flight, 0)  # type: ignore[union-attr]
 
-    async def test_the_route_time_out_ends_a_request_that_may_have_run(self) -> None:
+    async def test_the_route_timeout_ends_a_request_that_may_have_run(self) -> None:
         replica = ScriptedReplica(never_answering)
         relay = await self.relay(replica, kind=RouteKind.UNSAFE, timeout_s=0.1)
         answer = await relay.ask(method="POST")
         self.assertEqual(answer.status, 504)
         await asyncio.wait_for(replica.closed_by_router.wait(), 10.0)
 
-    async def test_no_replica_is_told_at_once_with_a_time_to_come_back(self) -> None:
+    async def test_without_a_replica_the_refusal_has_a_retry_after(self) -> None:
         relay = await self.relay(target_latency_s=0.2)
         self.assert_not_run(await relay.ask())
 
@@ -232,14 +232,14 @@
         self.assertEqual((await read_answer(reader)).status, 404)
         writer.close()
 
-    async def test_a_key_that_cannot_be_checked_is_refused_as_not_run(self) -> None:
+    async def test_a_key_that_cannot_be_verified_is_refused_as_not_run(self) -> None:
         relay = await self.relay(ScriptedReplica(answering(lambda r: signed(r, b"ok"))))
         relay.state.freshness._proven_at_s = relay.state.clock() - 4.0
         self.assert_not_run(await relay.ask())
         self.assertFalse(relay.state.ready)
         self.assert_not_run(await relay.ask(extra="X-Key: other\r\n"))
 
-    async def test_limits_of_callers(self) -> None:
+    async def test_limits_on_callers_input(self) -> None:
         relay = await self.relay(ScriptedReplica(answering(lambda r: signed(r, b"ok"))))
         long = f"X-Long: {'x' * 20_000}\r\n"
         self.assertEqual((await relay.ask(extra=long)).status, 431)
@@ -252,7 +252,7 @@
         self.assertEqual((await read_answer(reader)).status, 400)
         writer.close()
 
-    async def test_bad_headers_are_named(self) -> None:
+    async def test_a_refusal_names_the_invalid_header(self) -> None:
         relay = await self.relay(ScriptedReplica(answering(lambda r: signed(r, b"ok"))))
         answer = await relay.ask(extra="X-Model: m\r\nX-Prefix-Hash: a:b\r\n")
         self.assertEqual(answer.status, 400)
@@ -260,14 +260,14 @@
 
 
 class StoppingTest(RelayTestCase):
-    async def test_a_stop_cuts_no_stream_and_refuses_what_comes_late(self) -> None:
-        going = asyncio.Event()
+    async def test_a_stop_completes_streams_and_refuses_late_requests(self) -> None:
+        may_finish = asyncio.Event()
 
         async def slow_stream(
             request: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> bool:
             writer.write(stream_head(request) + chunk(event(1)))
-            await going.wait()
+            await may_finish.wait()
             writer.write(chunk(event(2)) + b"0\r\n\r\n")
             return True
 
@@ -284,7 +284,7 @@
         self.assert_not_run(await read_answer(late_reader))
         relay.service.close_callers_when_idle()
         self.assertEqual(await idle_reader.read(), b"")
-        going.set()
+        may_finish.set()
         answer = await asking
         self.assertTrue(answer.whole)
         self.assertEqual(answer.body, event(1) + event(2))
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -1,4 +1,4 @@
-"""Streams through the real data path, before replicas that misbehave."""
+"""Streams over the relay path, with replicas that fail or misbehave."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class StreamTest(RelayTestCase):
-    async def test_events_pass_and_the_stream_ends_whole(self) -> None:
+    async def test_all_events_are_delivered_and_the_stream_completes(self) -> None:
         def stream(request: ReceivedRequest) -> bytes:
             pieces = b"".join(chunk(event(number)) for number in range(1, 4))
             return stream_head(request) + pieces + b"0\r\n\r\n"
@@ -35,7 +35,9 @@
         seen = replica.received[0].headers
         self.assertEqual((seen["x-expected-version"], seen["x-cache-salt"]), ("1", "-/m/1"))
 
-    async def test_a_stream_that_ends_inside_an_event_is_torn_whatever_its_framing(self) -> None:
+    async def test_a_stream_that_ends_inside_an_event_is_truncated_whatever_its_framing(
+        self,
+    ) -> None:
         def cut_short(request: ReceivedRequest) -> bytes:
             pieces = chunk(event(1)) + chunk(b"id: 2\ndata: pie")
             return stream_head(request) + pieces + b"0\r\n\r\n"
@@ -47,19 +49,21 @@
         self.assertFalse(answer.whole)
         self.assertEqual(answer.body, event(1))
 
-    async def test_a_torn_stream_that_cannot_be_resumed_looks_torn(self) -> None:
-        def torn(request: ReceivedRequest) -> bytes:
+    async def test_a_truncated_stream_that_cannot_be_resumed_is_truncated_for_the_caller(
+        self,
+    ) -> None:
+        def truncated(request: ReceivedRequest) -> bytes:
             return stream_head(request) + chunk(event(1)) + chunk(b"id: 2\ndata: pie")
 
-        replica = ScriptedReplica(resetting(torn))
+        replica = ScriptedReplica(resetting(truncated))
         relay = await self.relay(replica, kind=RouteKind.STREAMING, max_attempts=2)
         answer = await relay.ask(method="POST", extra=PROMPT_HEADERS)
         self.assertFalse(answer.whole)
         self.assertEqual(answer.body, event(1))
         self.assertEqual(len(replica.received), 1)
 
-    async def test_a_torn_stream_goes_on_elsewhere_after_its_last_whole_event(self) -> None:
-        def torn(request: ReceivedRequest) -> bytes:
+    async def test_a_truncated_stream_resumes_elsewhere_after_its_last_whole_event(self) -> None:
+        def truncated(request: ReceivedRequest) -> bytes:
             return stream_head(request) + chunk(event(1) + event(2)) + chunk(b"id: 3\ndata: pi")
 
         def rest(request: ReceivedRequest) -> bytes:
@@ -67,15 +71,15 @@
             pieces = b"".join(chunk(event(number)) for number in range(after + 1, 5))
             return stream_head(request) + pieces + b"0\r\n\r\n"
 
-        replicas = [ScriptedReplica(resetting(torn)), ScriptedReplica(answering(rest))]
+        replicas = [ScriptedReplica(resetting(truncated)), ScriptedReplica(answering(rest))]
         relay = await self.relay(*replicas, kind=RouteKind.STREAMING, resumable=True)
         answer = await relay.ask(method="POST", extra=PROMPT_HEADERS)
         self.assertTrue(answer.whole)
         self.assertEqual(answer.body, b"".join(event(number) for number in range(1, 5)))
         self.assertEqual([len(replica.received) for replica in replicas], [1, 1])
 
-    async def test_a_resumed_stream_joins_without_gap_or_double(self) -> None:
-        def torn(request: ReceivedRequest) -> bytes:
+    async def test_a_resumed_stream_has_no_gap_and_no_duplicate_event(self) -> None:
+        def truncated(request: ReceivedRequest) -> bytes:
             return stream_head(request) + chunk(event(1) + event(2)) + chunk(b"id: 3\ndata: pi")
 
         def rest(request: ReceivedRequest) -> bytes:
@@ -83,13 +87,13 @@
             pieces = chunk(event(2)) + chunk(event(3))
             return stream_head(request) + pieces + b"0\r\n\r\n"
 
-        replicas = [ScriptedReplica(resetting(torn)), ScriptedReplica(answering(rest))]
+        replicas = [ScriptedReplica(resetting(truncated)), ScriptedReplica(answering(rest))]
         relay = await self.relay(*replicas, kind=RouteKind.STREAMING, resumable=True)
         answer = await relay.ask(method="POST", extra=PROMPT_HEADERS)
         self.assertTrue(answer.whole)
         self.assertEqual(answer.body, event(1) + event(2) + event(3))
 
-    async def test_a_refused_version_is_tried_again_at_the_same_replica(self) -> None:
+    async def test_a_refused_weights_version_is_retried_at_the_same_replica(self) -> None:
         def other_version(request: ReceivedRequest) -> bytes:
             return (
                 b"HTTP/1.1 421 Misdirected\r\nX-Not-Executed: 1\r\nX-Instance-Id: i-0\r\n"
@@ -108,11 +112,10 @@
         self.assertEqual(replica.received[1].headers["x-expected-version"], "2")
         self.assertEqual(replica.received[1].headers["x-cache-salt"], "-/m/2")
 
-    async def test_a_refused_version_is_never_taken_for_newer_than_it_is(self) -> None:
-        """trouble-1 (amse-vigie, fe761723): a replica of version 2 was taken for one of version 4.
+    async def test_a_refusal_does_not_raise_the_assumed_version_too_far(self) -> None:
+        """Guards against a replica that refuses every request since its assumed version is too new.
 
-        Its load had ended unheard while the store was lost; nothing lowers a believed version, so
-        it refused every request, and the next leader never loaded it.
+        An assumed version is never lowered, so it may only be raised to the next version.
         """
 
         def by_version(request: ReceivedRequest) -> bytes:
@@ -134,10 +137,10 @@
         versions = [replica.versions["m"] for replica in relay.state.fleet.replicas()]
         self.assertEqual(versions, [3])
 
-    async def test_weights_whose_time_ends_during_a_wait_for_a_connection_are_not_used(
+    async def test_weights_that_expire_while_a_connection_is_opened_are_not_used(
         self,
     ) -> None:
-        """A placement rests on beliefs of its moment; a connection may take longer to come."""
+        """Guards against a placement that is outdated once the connection is open."""
 
         def stream(request: ReceivedRequest) -> bytes:
             return stream_head(request) + chunk(event(1)) + b"0\r\n\r\n"
@@ -156,8 +159,8 @@
         self.assert_not_run(await relay.ask(method="POST", extra=PROMPT_HEADERS))
         self.assertEqual(replica.received, [])
 
-    async def test_a_hold_that_begins_during_a_wait_for_a_connection_is_waited_for(self) -> None:
-        """The only replica was given up for good for a hold of 0.2 s."""
+    async def test_a_hold_that_begins_while_a_connection_is_opened_is_waited_for(self) -> None:
+        """Guards against excluding the only replica for a hold of 0.2 s."""
         replica = ScriptedReplica(answering(lambda request: signed(request, b"pong")))
         relay = await self.relay(replica, max_attempts=3)
         acquire = relay.pool.acquire
@@ -173,7 +176,7 @@
         self.assertEqual((await relay.ask()).status, 200)
         self.assertEqual(len(replica.received), 1)
 
-    async def test_another_replica_at_the_address_is_not_asked_again(self) -> None:
+    async def test_another_replica_at_the_address_gets_no_further_request(self) -> None:
         def misdirected(request: ReceivedRequest) -> bytes:
             return (
                 b"HTTP/1.1 421 Misdirected\r\nX-Not-Executed: 1\r\nX-Instance-Id: i-other\r\n"
@@ -189,17 +192,13 @@
         self.assert_not_run(await relay.ask("id-2", method="POST", extra=PROMPT_HEADERS))
         self.assertEqual(len(replica.received), 1)
 
-    async def test_the_incarnation_that_answers_is_asked_again(self) -> None:
-        """The replica that answered for a late entry at its address was never asked again.
+    async def test_an_outdated_entry_does_not_exclude_the_running_incarnation(self) -> None:
+        """Guards against a replica that is excluded by late entries of its earlier incarnations.
 
-        Replicas had started again at their addresses, and the entries of the incarnations before
-        came into the list once more at 11.15 s. Requests to the old ones were answered with 421 by
-        the new ones; "replica_superseded replica=i-afa882bbf5" was logged on all seven daemons
-        between 11.69 s and 12.17 s. So each knew who answers there, and still sent it nothing
-        more: the new ones had been set aside when the old entries came.
+        Its refusal of their requests (421) identifies the incarnation that runs at the address.
         """
 
-        def answer_as_living(request: ReceivedRequest) -> bytes:
+        def answer_as_running(request: ReceivedRequest) -> bytes:
             if request.headers["x-expected-instance"] == "i-living":
                 return signed(request, b"pong")
             return (
@@ -207,7 +206,7 @@
                 b"Content-Length: 0\r\n\r\n"
             )
 
-        replica = ScriptedReplica(answering(answer_as_living))
+        replica = ScriptedReplica(answering(answer_as_running))
         relay = await self.relay(replica, max_attempts=1)
         relay.state.fleet.remove("i-0")
         for replica_id in ("i-living", "i-between", "i-late"):
@@ -217,8 +216,8 @@
         self.assertEqual([answer.status for answer in answers], [200] * 3)
         self.assertEqual(len(replica.received), 4)
 
-    async def test_one_that_answers_a_request_as_itself_is_asked_again(self) -> None:
-        """A replica is set aside by a late entry while it is at work on a request."""
+    async def test_an_answer_restores_a_replica_that_a_late_entry_superseded(self) -> None:
+        """Guards against excluding a replica that is still running a request."""
         late_is_listed = asyncio.Event()
 
         async def answer_after_the_entry(
@@ -239,7 +238,7 @@
         self.assertEqual((await relay.ask("id-2")).status, 200)
         self.assertEqual(replica.received[1].headers["x-expected-instance"], "i-0")
 
-    async def test_a_version_refused_as_itself_says_who_answers(self) -> None:
+    async def test_a_version_refusal_restores_a_replica_that_a_late_entry_superseded(self) -> None:
         late_is_listed = asyncio.Event()
 
         async def refuse_after_the_entry(
@@ -262,5 +261,5 @@
         relay.add(replica, "i-late", versions={"m": 1})
         late_is_listed.set()
         self.assert_not_run(await running)
-        in_place = [item.replica_id for item in relay.state.fleet.replicas() if item.accepting]
-        self.assertEqual(in_place, ["i-0"])
+        accepting = [item.replica_id for item in relay.state.fleet.replicas() if item.accepting]
+        self.assertEqual(accepting, ["i-0"])
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""An answer that belongs to another attempt never reaches a caller."""
+"""Guards against events of another attempt in a caller's stream."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class CrossedAnswerTest(unittest.TestCase):
-    def test_event_of_another_attempt_breaks_the_stream_and_delivers_nothing(self) -> None:
+    def test_event_of_another_attempt_fails_the_stream_and_is_not_delivered(self) -> None:
         pieces: list[StreamPiece] = []
         callbacks = StreamCallbacks(lambda start: None, pieces.append, lambda: None)
         reader = _StreamReader("mine", callbacks)
