--- a/winchfork/router/attempt.py
+++ b/winchfork/router/attempt.py
@@ -240,7 +240,9 @@
         assert self._stream is not None
         if self._stream.truncated:
             # An answer without framing ends with the connection, even in the middle of an event.
-            return MayHaveRun("the stream ended inside an event", truncated=True)
+            return MayHaveRun(
+                "the stream ended inside an event or before the first", truncated=True
+            )
         self._answer.finish()
         return Delivered(200)
 
--- a/winchfork/router/attempt_planner.py
+++ b/winchfork/router/attempt_planner.py
@@ -23,7 +23,7 @@
 from winchfork.router.state import RouterState
 
 #: Seconds after the announcement of a newer version in which older weights carry no extra cost.
-FULL_VALUE_S = 1.5
+OLD_WEIGHTS_GRACE_S = 1.5
 #: Seconds from the placement decision to the expected start of the run.
 EXPECTED_START_DELAY_S = 0.2
 
@@ -148,14 +148,16 @@
         return worth_moving(expected_s, elapsed_s, prefill_s)
 
     def _old_versions(self, model: str, candidates: Sequence[RelayReplica]) -> frozenset[int]:
-        """Return the candidates' weights versions whose ``FULL_VALUE_S`` has expired."""
+        """Return the candidates' weights versions that were replaced longer ago than the grace."""
         history = self._state.weights_versions.get(model)
         if history is None:
             return frozenset()
         now_s = self._state.clock() + EXPECTED_START_DELAY_S
         versions = {replica.versions.get(model, 0) for replica in candidates}
         return frozenset(
-            version for version in versions if history.expires_at_s(version, FULL_VALUE_S) <= now_s
+            version
+            for version in versions
+            if history.expires_at_s(version, OLD_WEIGHTS_GRACE_S) <= now_s
         )
 
     def plan(
--- a/winchfork/router/connection_pool.py
+++ b/winchfork/router/connection_pool.py
@@ -76,9 +76,9 @@
 
     async def _open_with_retry(self, address: str) -> ReplicaConnection | Failure:
         """Open a connection; retry once if the timeout expired during a stall of this process."""
-        asked_s = self._loop.time()
+        started_at_s = self._loop.time()
         connection = await self._open_one(address)
-        late_s = self._loop.time() - asked_s - CONNECT_TIMEOUT_S
+        late_s = self._loop.time() - started_at_s - CONNECT_TIMEOUT_S
         if isinstance(connection, Failure) and late_s > STALL_THRESHOLD_S:
             connection = await self._open_one(address)
         return connection
@@ -86,15 +86,15 @@
     async def _open_one(self, address: str) -> ReplicaConnection | Failure:
         host, _, port = address.rpartition(":")
         self._open_counts[address] = self._open_counts.get(address, 0) + 1
-        lost = False
-        asked_s = self._loop.time()
+        released = False
+        started_at_s = self._loop.time()
 
         def on_idle(connection: ReplicaConnection) -> None:
-            nonlocal lost
+            nonlocal released
             if not connection.closed:
                 self._idle.setdefault(address, []).append(connection)
-            elif not lost:
-                lost = True
+            elif not released:
+                released = True
                 self._decrement_open(address)
 
         try:
@@ -115,7 +115,7 @@
             self._decrement_open(address)
             raise
         self.counters.opened += 1
-        took_s = self._loop.time() - asked_s
+        took_s = self._loop.time() - started_at_s
         self.min_connect_s[address] = min(took_s, self.min_connect_s.get(address, took_s))
         return connection
 
--- a/winchfork/router/relayed_request.py
+++ b/winchfork/router/relayed_request.py
@@ -278,13 +278,13 @@
         self._attempted.add(replica.replica_id)
         failed_by_replica = outcome.answer is not None and outcome.answer.head.status < 500
         has_others = self._planner.has_candidates(self._attempted)
-        # A request that has crashed replicas is retried only if the caller sends it again.
+        # A request that may have crashed replicas is not retried on behalf of the caller.
         crashes_replicas = (
             self._crashes.crash_count(self._admitted.digest) >= MAX_CRASHES_PER_ATTEMPT
         )
         repeatable = self._route.repeatable and not crashes_replicas
-        worth_it = repeatable and not failed_by_replica and has_others
-        if worth_it and self._retries.try_spend(self._route.max_attempts):
+        may_retry = repeatable and not failed_by_replica and has_others
+        if may_retry and self._retries.try_spend(self._route.max_attempts):
             return True
         if outcome.answer is not None and not self._answer.started:
             self._record.outcome = f"passed_on_{outcome.answer.head.status}"
--- a/winchfork/router/replica_probes.py
+++ b/winchfork/router/replica_probes.py
@@ -36,13 +36,13 @@
     async def _probe(self, replica: RelayReplica) -> None:
         await asyncio.sleep(PROBE_DELAY_S)
         self._scheduled.discard(replica.order_hash)
-        asked_s = self._state.clock()
+        started_at_s = self._state.clock()
         address = replica.listing.address
         limit = self._state.connection_limit(replica.listing.service)
         # An idle connection proves nothing: its end may not have been detected yet.
         connection = await self._pool.open_new(address, limit)
         if not isinstance(connection, Failure):
             self._pool.release(address, connection)
-            self._state.crashes.record_connected(replica, asked_s)
+            self._state.crashes.record_connected(replica, started_at_s)
         elif connection.kind is FailureKind.CONNECTION_REFUSED:
             self._state.crashes.record_crash(replica, CrashEvidence.PORT_CLOSED)
--- a/winchfork/router/settings.py
+++ b/winchfork/router/settings.py
@@ -14,7 +14,7 @@
 class RouterBounds(msgspec.Struct, frozen=True):
     """Time bounds, limits and tolerances that the deployment sets.
 
-    ``contact_s`` is how long the store has to be reachable without a failure to count as stable.
+    ``contact_s`` is how long a store that is reachable again must stay so to count as stable.
     """
 
     contact_s: float = 3.0
