--- a/winchfork/router/crash_exchange.py
+++ b/winchfork/router/crash_exchange.py
@@ -1,7 +1,7 @@
-"""What daemons tell each other of requests that end replicas.
+"""Exchanges crash reports, suspect runs and clearances of requests between daemons.
 
-Ends are told more than once, since a datagram may be lost and every daemon has to know them; what
-they say again changes nothing. Clearances are collected: one end may bring fifty.
+Crash reports are resent, since a datagram may be lost and every daemon needs them; receiving one
+again has no effect. Clearances are batched, since one crash can lead to dozens of them.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from winchfork.router.peer_messenger import PeerMessenger
 from winchfork.router.state import RouterState
 
-#: Seconds after which ends are told once more; further apart than hubs remember a datagram.
+#: Seconds after which a crash report is resent: further apart than the hubs' duplicate window.
 RESEND_DELAYS_S = (0.7, 1.6)
-#: Clearances that arise within this time share a message.
+#: Seconds for which clearances are collected into one message.
 BATCH_WINDOW_S = 0.1
-#: Digests of 16 bytes that fit into a datagram with room to spare.
+#: Keeps a message of 16-byte digests within one datagram.
 MAX_DIGESTS_PER_MESSAGE = 48
 
 
 class CrashExchange:
-    """Connects a process's guard to its peers."""
+    """Connects this process's crash tracker to its peers."""
 
     def __init__(
         self,
@@ -42,11 +42,11 @@
         self._tracker.on_cleared = self._queue_cleared
 
     def handle_crash_report(self, message: CrashReport) -> None:
-        """Take in under which requests of a peer a replica ended."""
+        """Record the requests that a peer was running on a replica that crashed."""
         self._tracker.handle_crash_report(message.incarnation, message.digests)
 
     def handle_suspect_run(self, message: SuspectRunReport) -> None:
-        """Take in that a peer runs a suspect, or does no longer."""
+        """Record that a peer's run of a suspected request has begun or ended."""
         run = None
         if message.remaining_ms:
             until_s = self._state.clock() + message.remaining_ms / 1000.0
@@ -54,7 +54,7 @@
         self._tracker.handle_suspect_run(message.sender_id, message.digest, run)
 
     def handle_cleared(self, message: ClearedRequests) -> None:
-        """Take in which suspects have ended well at a peer."""
+        """Clear suspected requests whose runs have succeeded at a peer."""
         for digest in message.digests:
             self._tracker.handle_cleared(digest)
 
@@ -62,29 +62,31 @@
         for first in range(0, len(digests), MAX_DIGESTS_PER_MESSAGE):
             part = digests[first : first + MAX_DIGESTS_PER_MESSAGE]
             self._peers.broadcast(CrashReport(incarnation, part))
-            for after_s in RESEND_DELAYS_S:
-                self._call_later(after_s, functools.partial(self._resend_crash, incarnation, part))
+            for delay_s in RESEND_DELAYS_S:
+                self._call_later(delay_s, functools.partial(self._resend_crash, incarnation, part))
 
     def _resend_crash(self, incarnation: int, digests: tuple[bytes, ...]) -> None:
-        """Repeat what still holds: an end that is told after its clearance would undo that."""
+        """Resend the crashes that still count: a cleared one would be recorded anew."""
         now_s = self._state.clock()
         ledger = self._tracker.ledger
-        left = tuple(item for item in digests if ledger.has_crash(item, incarnation, now_s))
-        if left:
-            self._peers.broadcast(CrashReport(incarnation, left))
+        remaining = tuple(
+            digest for digest in digests if ledger.has_crash(digest, incarnation, now_s)
+        )
+        if remaining:
+            self._peers.broadcast(CrashReport(incarnation, remaining))
 
     def _broadcast_run(self, digest: bytes, run: SuspectRun | None) -> None:
-        left_s = run.until_s - self._state.clock() if run is not None else 0.0
+        remaining_s = run.until_s - self._state.clock() if run is not None else 0.0
         incarnation = run.incarnation if run is not None else 0
         message = SuspectRunReport(
-            self._state.settings.node_id, digest, incarnation, max(0, int(left_s * 1000))
+            self._state.settings.node_id, digest, incarnation, max(0, int(remaining_s * 1000))
         )
         self._peers.broadcast(message)
 
     def _queue_cleared(self, digest: bytes, crashes: int) -> None:
         self._pending_cleared.append(digest)
         if crashes >= CRASHES_TO_RUN_ALONE:
-            # One more end elsewhere, and it would be refused.
+            # One more crash at another daemon would refuse it.
             self._flush_cleared()
         elif len(self._pending_cleared) == 1:
             self._call_later(BATCH_WINDOW_S, self._flush_cleared)
--- a/winchfork/router/crash_tracker.py
+++ b/winchfork/router/crash_tracker.py
@@ -1,9 +1,9 @@
-"""Keeps requests that end replicas away from them, at what it costs requests that were only near.
+"""Detects requests that crash replicas, and refuses them.
 
-A run whose connection breaks is remembered until it is settled whether its replica ended. An end
-makes every request that ran there a suspect. A suspect runs once at a time; from the second end on
-it shares no replica with another such suspect; at the third it is refused, on every daemon and
-after every restart. A run that ends well clears it.
+A run whose connection breaks is remembered until it is known whether its replica crashed. A crash
+makes every request that was running there a suspect. A suspect runs once at a time; after two
+crashes it shares no replica with another such suspect; after three it is refused, by every daemon
+and across restarts. A run that succeeds clears the request.
 """
 
 from __future__ import annotations
@@ -20,27 +20,26 @@
 from winchfork.logs import log_event
 from winchfork.router.refusal_records import RefusalRecords, bucket_key
 
-#: Ends from which on a request shares no replica with another such: what ended the second replica
-#: is one of the few that ran on both.
+#: Crashes after which a request shares no replica with another such request: the cause of the
+#: second crash is among the few requests that ran on both replicas.
 CRASHES_TO_RUN_ALONE = 2
-#: Ends after which one try goes on at no further replica.
+#: Crashes after which one attempt is not retried on a further replica.
 MAX_CRASHES_PER_ATTEMPT = 2
-#: Seconds that a try waits at most for it to be settled whether two replicas ended under it or only
-#: lost its answers, and between two looks: a probe takes some tens of milliseconds.
+#: Seconds that an attempt waits at most to learn whether replicas crashed or only lost its answers.
 MAX_RESOLVE_WAIT_S = 0.5
 RESOLVE_POLL_S = 0.01
 
 
 class RecordListener(Protocol):
-    """Told of a request that is refused, or no longer; ``own``: this daemon sent its last run."""
+    """Called when the stored refusal of a request has to change."""
 
     def __call__(self, digest: bytes, *, own: bool) -> None:
-        """Take it in."""
+        """Handle the change; ``own``: this daemon sent the request's last run."""
         ...
 
 
 class CrashTracker:
-    """The beliefs of one process about requests that end replicas."""
+    """One process's record of requests that may crash replicas."""
 
     def __init__(self, daemon_id: str, clock: Callable[[], float]) -> None:
         self._daemon_id = daemon_id
@@ -49,40 +48,40 @@
         self.records = RefusalRecords(self.ledger, clock)
         self._broken_runs = BrokenRuns()
         self._suspect_runs = SuspectRuns()
-        #: Told of each break on a replica that nothing explains yet.
+        #: Called for each broken connection whose cause is not known yet.
         self.on_connection_broken: Callable[[RelayReplica], None] = lambda replica: None
-        #: Told of the requests under which an incarnation ended, for the other daemons.
+        #: Called with an incarnation that crashed and the requests that it was running.
         self.on_crash: Callable[[int, tuple[bytes, ...]], None] = lambda incarnation, digests: None
-        #: Told of a suspect that runs alone, and that its run is over (None).
+        #: Called when an exclusive run of a suspect begins, and with None when it ends.
         self.on_suspect_run: Callable[[bytes, SuspectRun | None], None] = lambda digest, run: None
-        #: Told of a suspect that has ended well, and how many replicas had ended under it.
-        self.on_cleared: Callable[[bytes, int], None] = lambda digest, ends: None
-        #: Told of a request whose record in the store has to change.
+        #: Called when a suspect is cleared, with its number of crashes.
+        self.on_cleared: Callable[[bytes, int], None] = lambda digest, crashes: None
         self.on_record_changed: RecordListener = _ignore
 
     # Before a run
 
     def refusal(self, digest: bytes, ran: RunState = RunState.NOT_RUN) -> Failure | None:
-        """Return why a request is not sent to any replica; None if it may be."""
+        """Return why a request must not be sent to any replica; None if it may be sent."""
         if not self.ledger.is_refused(digest, self._clock()):
             return None
         return FailureKind.CRASHES_REPLICAS.because(
-            f"{CRASHES_TO_REFUSE} replicas ended while they ran this request ({digest.hex()})",
-            remedy="do not send it again; change it, or ask the operators to release it",
+            f"{CRASHES_TO_REFUSE} replicas crashed while running this request ({digest.hex()})",
+            remedy="do not resend it unchanged; change it, or ask the operators to release it",
             ran=ran,
         )
 
     def crash_count(self, digest: bytes) -> int:
-        """Return how many replicas have ended under a request, or may have just now."""
+        """Return how many replicas have crashed under a request, unconfirmed crashes included."""
         now_s = self._clock()
         return self.ledger.crash_count(digest, now_s) + self._broken_runs.count_unconfirmed(
             digest, now_s
         )
 
     async def wait_until_resolved(self, digest: bytes, ends_at_s: float) -> None:
-        """Wait, where it matters to one try, until it is known whether replicas ended or live.
+        """Wait until it is known whether replicas crashed, if that decides on a retry.
 
-        The try is over at ``ends_at_s``.
+        Wait at most ``MAX_RESOLVE_WAIT_S`` seconds and no longer than ``ends_at_s``, the attempt's
+        deadline.
         """
         until_s = min(self._clock() + MAX_RESOLVE_WAIT_S, ends_at_s)
         while self._is_unresolved(digest) and self._clock() < until_s:
@@ -90,14 +89,14 @@
 
     def _is_unresolved(self, digest: bytes) -> bool:
         now_s = self._clock()
-        unsettled = self._broken_runs.count_unconfirmed(digest, now_s)
+        unconfirmed = self._broken_runs.count_unconfirmed(digest, now_s)
         return (
-            bool(unsettled)
-            and self.ledger.crash_count(digest, now_s) + unsettled >= MAX_CRASHES_PER_ATTEMPT
+            bool(unconfirmed)
+            and self.ledger.crash_count(digest, now_s) + unconfirmed >= MAX_CRASHES_PER_ATTEMPT
         )
 
     def may_run(self, digest: bytes) -> bool:
-        """Whether a request may be sent now; a suspect may not while a run of it is under way."""
+        """Whether a request may be sent now; a suspect may not while it is running elsewhere."""
         return not self.crash_count(digest) or not self._suspect_runs.is_running(
             digest, self._clock()
         )
@@ -106,52 +105,55 @@
         """Return the ids of the replicas that a request may not be sent to now."""
         if self.crash_count(digest) < CRASHES_TO_RUN_ALONE:
             return set()
-        taken = self._suspect_runs.exclusive_incarnations(self._clock())
-        return {replica.replica_id for replica in replicas if replica.order_hash in taken}
+        exclusive = self._suspect_runs.exclusive_incarnations(self._clock())
+        return {replica.replica_id for replica in replicas if replica.order_hash in exclusive}
 
     # A run
 
     def begin_run(self, digest: bytes, replica: RelayReplica, until_s: float) -> None:
-        """A request is about to be sent; its run is over by ``ends_s``."""
-        ends = self.crash_count(digest)
-        if not ends:
+        """Record that a request is about to be sent; its run ends by ``until_s``."""
+        crashes = self.crash_count(digest)
+        if not crashes:
             return
-        run = SuspectRun(replica.order_hash, until_s, ends >= CRASHES_TO_RUN_ALONE)
+        run = SuspectRun(replica.order_hash, until_s, crashes >= CRASHES_TO_RUN_ALONE)
         self._suspect_runs.begin(self._daemon_id, digest, run)
         if run.is_exclusive:
             self.on_suspect_run(digest, run)
 
     def end_run(self, digest: bytes) -> None:
-        """The run is over, however it ended."""
+        """Record that a run is over, with any outcome."""
         run = self._suspect_runs.end(self._daemon_id, digest)
         if run is not None and run.is_exclusive:
             self.on_suspect_run(digest, None)
 
     def record_success(self, digest: bytes) -> None:
-        """A replica has answered a request whole, and so outlived it."""
+        """Record a complete answer, and clear the request."""
         now_s = self._clock()
         self.ledger.record_success(digest, now_s)
         self._broken_runs.clear(digest)
-        ends = self.ledger.crash_count(digest, now_s)
+        crashes = self.ledger.crash_count(digest, now_s)
         if self.ledger.clear(digest):
-            self.on_cleared(digest, ends)
+            self.on_cleared(digest, crashes)
             if self.records.revision(bucket_key(digest)):
                 self.on_record_changed(digest, own=True)
 
     def record_broken_run(self, replica: RelayReplica, digest: bytes, *, silent: bool) -> None:
-        """The connection of a run broke before its answer was whole."""
+        """Record that a run's connection broke before its answer was complete.
+
+        ``silent``: the replica had stopped acknowledging data, so the network may have failed.
+        """
         self._broken_runs.record(replica.order_hash, digest, self._clock(), silent=silent)
         if not silent:
             self.on_connection_broken(replica)
 
-    # What became of replicas
+    # Replicas
 
     def record_connected(self, replica: RelayReplica, asked_s: float) -> None:
-        """A new connection to a replica's address came up, asked for at that time."""
+        """Record that a connection to a replica, requested at ``asked_s``, was established."""
         self._broken_runs.mark_reached(replica.order_hash, asked_s)
 
     def record_crash(self, replica: RelayReplica, evidence: CrashEvidence) -> None:
-        """An incarnation has ended: whatever this daemon had running there is suspected."""
+        """Record a crashed incarnation, and suspect this daemon's requests that ran there."""
         incarnation = replica.order_hash
         digests = self._broken_runs.pop_crashed(incarnation, evidence, self._clock())
         if not digests:
@@ -167,50 +169,51 @@
         self._record_crashes(incarnation, digests, own=True)
         self.on_crash(incarnation, digests)
 
-    # What the store and peers tell
+    # Store and peers
 
     def apply_record(
         self, key: str, value: bytes | None, revision: int, *, is_restored: bool = False
     ) -> Failure | None:
-        """Take in what the store holds of a refused request; a failure if that cannot be read.
+        """Apply a refusal record of the store; return a failure if it cannot be decoded.
 
-        ``is_restored``: it may be of a copy, and older than what is known.
+        ``is_restored``: the store may have been restored from a backup, so that the record may be
+        older than the one known here.
         """
-        later = self.records.install_outdated(key, value, revision) if is_restored else None
-        if later is not None:
-            self.on_record_changed(later, own=False)
+        newer = self.records.install_outdated(key, value, revision) if is_restored else None
+        if newer is not None:
+            self.on_record_changed(newer, own=False)
             return None
-        unread = self.records.install(key, value, revision)
+        failure = self.records.install(key, value, revision)
         digest = self.records.digest_at(key)
         now_s = self._clock()
         if digest is None or not self.ledger.is_refused(digest, now_s):
-            return unread
+            return failure
         if self.ledger.succeeded_recently(digest, now_s):
-            # Refused by a daemon that had not heard of it yet.
+            # Refused by a daemon that had not received the success yet.
             self.ledger.clear(digest)
             self.on_cleared(digest, CRASHES_TO_REFUSE)
             self.on_record_changed(digest, own=True)
-        return unread
+        return failure
 
     def handle_lost_record(self, key: str) -> None:
-        """The store came back without a record: have it written again if it still matters."""
+        """Handle a record that is missing from a restored store; have it rewritten if needed."""
         digest = self.records.remove_lost(key)
         if digest is not None and not self.records.matches_ledger(digest):
             self.on_record_changed(digest, own=False)
 
     def handle_crash_report(self, incarnation: int, digests: Iterable[bytes]) -> None:
-        """A peer's runs of these requests were on an incarnation when it ended."""
+        """Record that a peer was running these requests on an incarnation that crashed."""
         self._record_crashes(incarnation, digests, own=False)
 
     def handle_suspect_run(self, daemon: str, digest: bytes, run: SuspectRun | None) -> None:
-        """A peer runs a suspect that runs alone, or no longer (None)."""
+        """Record that a peer's exclusive run of a suspect has begun, or has ended (None)."""
         if run is None:
             self._suspect_runs.end(daemon, digest)
         else:
             self._suspect_runs.begin(daemon, digest, run)
 
     def handle_cleared(self, digest: bytes) -> None:
-        """A peer's run of a suspect has ended well."""
+        """Clear a suspect whose run has succeeded at a peer."""
         self.ledger.clear(digest)
 
     def _record_crashes(self, incarnation: int, digests: Iterable[bytes], *, own: bool) -> None:
@@ -218,14 +221,16 @@
         for digest in digests:
             if not self.ledger.record_crash(digest, incarnation, now_s):
                 continue
-            ends = self.ledger.crash_count(digest, now_s)
+            crashes = self.ledger.crash_count(digest, now_s)
             if self.ledger.succeeded_recently(digest, now_s):
                 self.ledger.clear(digest)
-                self.on_cleared(digest, ends)
+                self.on_cleared(digest, crashes)
                 continue
-            if ends >= CRASHES_TO_RUN_ALONE:
-                log_event("request_suspected", "WARNING", digest=digest.hex(), ends=ends, own=own)
-            if ends >= CRASHES_TO_REFUSE and not self.ledger.is_refused(digest, now_s):
+            if crashes >= CRASHES_TO_RUN_ALONE:
+                log_event(
+                    "request_suspected", "WARNING", digest=digest.hex(), ends=crashes, own=own
+                )
+            if crashes >= CRASHES_TO_REFUSE and not self.ledger.is_refused(digest, now_s):
                 self._refuse(digest, own=own)
 
     def _refuse(self, digest: bytes, *, own: bool) -> None:
