--- a/winchfork/router/limit_registry.py
+++ b/winchfork/router/limit_registry.py
@@ -1,4 +1,4 @@
-"""Books the limits that replicas name, from this daemon's own answers and from what peers tell."""
+"""Tracks the request limits of replicas, from this daemon's own answers and from peers' reports."""
 
 from __future__ import annotations
 
@@ -20,36 +20,36 @@
 
 
 class ReportedLimit(msgspec.Struct, frozen=True):
-    """What a peer has heard of a replica's limit; ``per_s`` None: it has ended."""
+    """A replica's limit as a peer reports it; ``per_s`` is None if the limit has ended."""
 
     per_s: float | None
     received_at_s: float
 
 
 class LimitRegistry:
-    """The limits of all replicas, on the beliefs of one process."""
+    """The limits of all replicas as known to one process."""
 
     def __init__(self, state: RouterState) -> None:
         self._state = state
         self._log_limiter = LogRateLimit()
-        #: The daemons that share limits, with their zones, and when they last changed.
+        #: Zones of the daemons that share limits, by daemon id, and when these last changed.
         self._daemons: Mapping[str, str] = {state.settings.node_id: state.settings.zone}
         self._daemons_changed_at_s = -math.inf
         self._peer_reports = PeerReports()
-        #: Replicas that have named a limit, by incarnation; some may have ended it, or be gone.
+        #: Replicas that have named a limit, by incarnation; a limit may have ended, or its replica
+        #: may have been removed.
         self._limited: dict[int, RelayReplica] = {}
-        #: Told of each limit that one of this daemon's own answers began, changed or ended, and of
-        #: each answer that named one again.
+        #: Called when an answer to this daemon begins, changes, repeats or ends a limit.
         self.on_limit_received: Callable[[RelayReplica, LimitChange], None] = (
             lambda replica, change: None
         )
 
     def limited_replicas(self, service: str) -> list[RelayReplica]:
-        """Return the service's replicas that have named a limit."""
+        """Return the service's listed replicas that have a limit."""
         return [replica for replica in self._all_limited() if replica.listing.service == service]
 
     def limits_by_replica(self) -> dict[str, float]:
-        """Return the limit of each replica that names one, in requests a second."""
+        """Return the limit of each replica that has one, in requests a second, by replica id."""
         return {
             replica.replica_id: replica.notice.limit.per_s or 0.0 for replica in self._all_limited()
         }
@@ -63,7 +63,7 @@
         ]
 
     def mark_listed(self, replica: RelayReplica) -> None:
-        """Take in that a replica is listed, perhaps again, with what it had said before."""
+        """Assign this daemon's position for a replica that is listed with a limit already known."""
         if replica.notice.limit.per_s is not None:
             self.assign_position(replica)
 
@@ -72,7 +72,11 @@
     def record_limit(
         self, replica: RelayReplica, per_s: float, sent_s: float | None = None
     ) -> None:
-        """Take in that an answer of a replica names a limit, of a request that was sent then."""
+        """Record the limit that a replica's answer names.
+
+        ``per_s`` is in requests a second; ``sent_s`` is when the answered request was sent, if the
+        replica itself answered it.
+        """
         limit = replica.notice.limit
         if sent_s is not None and limit.has_ended_since(sent_s):
             return
@@ -83,7 +87,7 @@
         self.on_limit_received(replica, change)
 
     def record_unlimited_answer(self, replica: RelayReplica, sent_s: float) -> None:
-        """Take in that the answer to a request that was sent then names no limit."""
+        """Record that the answer to a request sent at ``sent_s`` names no limit."""
         limit = replica.notice.limit
         if not limit.may_be_ended_by_answer(sent_s):
             return
@@ -97,7 +101,7 @@
     def handle_peer_report(
         self, sender_id: str, replica: RelayReplica, report: ReportedLimit
     ) -> None:
-        """Take in what a peer has heard."""
+        """Apply a peer's report of a limit, if it is credible."""
         limit = replica.notice.limit
         was_per_s = limit.per_s
         if report.per_s is None:
@@ -108,18 +112,18 @@
 
     def _is_credible(self, sender_id: str, replica: RelayReplica) -> bool:
         service = replica.listing.service
-        heeded = {item.order_hash for item in self.limited_replicas(service)}
+        accepted = {item.order_hash for item in self.limited_replicas(service)}
         replicas = len(self._state.fleet.of_service(service))
-        return self._peer_reports.accept(replica.order_hash, sender_id, heeded, replicas)
+        return self._peer_reports.accept(replica.order_hash, sender_id, accepted, replicas)
 
-    # Who may send
+    # Positions
 
     def begin_stabilization(self, now_s: float) -> None:
-        """Take this daemon for one that does not know yet who else there is."""
+        """Restart the stabilization time, in which this daemon does not know all others yet."""
         self._daemons_changed_at_s = now_s
 
     def update_daemons(self, zones: Mapping[str, str], now_s: float) -> None:
-        """Share limits among these daemons from now on; ``zones`` holds the zone of each."""
+        """Share limits among these daemons from now on; ``zones`` has the zone of each, by id."""
         if zones == self._daemons:
             return
         self._daemons = zones
@@ -129,18 +133,18 @@
             self.assign_position(replica)
 
     def assign_position(self, replica: RelayReplica) -> None:
-        """Give this daemon its place among those that may send to a limited replica."""
+        """Set this daemon's rank among those that may send to a limited replica."""
         self._limited[replica.order_hash] = replica
         order = self._rank_daemons(replica)
         own_id = self._state.settings.node_id
-        # One that is not counted, since it stops, comes last.
-        place = order.index(own_id) if own_id in order else len(order)
+        # A daemon that is stopping is not in the order, and ranks last.
+        rank = order.index(own_id) if own_id in order else len(order)
         replica.notice.limit.set_position(
-            LimitPosition(place, len(order)), self._daemons_changed_at_s + STABILIZATION_S
+            LimitPosition(rank, len(order)), self._daemons_changed_at_s + STABILIZATION_S
         )
 
     def _rank_daemons(self, replica: RelayReplica) -> list[str]:
-        """Return the daemons, the nearest to a replica first: to others it is the dearer one."""
+        """Return the daemon ids, the nearest to a replica first, then by rendezvous hashing."""
         regions = self._state.settings.regions
         zone = replica.listing.zone
         ranked = rendezvous_rank(replica.order_hash, self._daemons)
@@ -153,7 +157,7 @@
         was_per_s: float | None,
         reported_by: str | None = None,
     ) -> None:
-        """Do what follows from a change, and log it."""
+        """Update the positions after a change, and log it."""
         if change is LimitChange.NOTHING:
             return
         if change is LimitChange.ENDED:
--- a/winchfork/router/notice_exchange.py
+++ b/winchfork/router/notice_exchange.py
@@ -1,9 +1,8 @@
-"""Daemons tell each other what replicas have said of themselves in their answers.
+"""Exchanges the notices in replicas' answers between daemons.
 
-At a large fleet's size nearly every request to a replica is its daemon's first, so daemons have to
-know without an answer of their own that a replica leaves, wants a pause, or names a limit; and
-those that send nothing hear of a limit's end from those that do. Only what a daemon has heard
-itself is told, and what is said again changes nothing.
+In a large deployment a daemon rarely sends to the same replica twice, so it has to learn from its
+peers that a replica drains, asks for a backoff, or begins or ends a request limit. A daemon
+broadcasts only what it has received from replicas itself; receiving a notice again has no effect.
 """
 
 from __future__ import annotations
@@ -21,16 +20,17 @@
 from winchfork.router.peer_messenger import PeerMessenger
 from winchfork.router.state import RouterState
 
-#: Words that are heard within this time share a message.
+#: Seconds for which notices are collected into one message.
 BATCH_WINDOW_S = 0.05
-#: A limit that goes on being named is told again after this long, for daemons that have just
-#: started or have lost a message, and any other word so often. The first in the order tells a
-#: limit; each place further down waits so much longer for others to tell it, up to a whole such
-#: time.
+#: Seconds between two broadcasts of a limit that answers still name, for daemons that have just
+#: started or have lost a message.
 RESEND_INTERVAL_S = 2.0
+#: Number of times that any other notice is resent.
 RESEND_COUNT = 2
+#: Seconds by which each rank in a limit's order delays a resend, at most ``RESEND_INTERVAL_S``: the
+#: daemons of lower ranks resend first, and the others then need not.
 RANK_DELAY_S = 0.25
-#: Notes of some 30 bytes in a message, which fits into one packet.
+#: Keeps a message of entries of some 30 bytes within one packet.
 MAX_ENTRIES_PER_MESSAGE = 40
 
 
@@ -47,19 +47,20 @@
         self._peers = peers
         self._call_later = call_later
         self._view: FleetView | None = None
-        #: Replicas of which something is to be told soon, or again later.
+        #: Replicas whose notices are to be sent with the next flush, or resent later, by
+        #: incarnation.
         self._pending: dict[int, RelayReplica] = {}
         self._to_resend: dict[int, RelayReplica] = {}
-        #: How often a word is told again that nobody repeats.
+        #: Number of resends left, by incarnation.
         self._resends_left: dict[int, int] = {}
-        #: When somebody last told everybody of a replica.
+        #: When any daemon last broadcast a replica's notice, by incarnation.
         self._announced_at_s: dict[int, float] = {}
         state.limits.begin_stabilization(state.clock())
         state.limits.on_limit_received = self._queue_limit
         state.notices.on_notice_received = self._queue_pause
 
     def tick(self, now_s: float) -> None:
-        """Share limits among the daemons that work now, and tell again what still holds."""
+        """Share limits among the current daemons, and resend notices that are due."""
         view = self._peers.view
         if view is not self._view:
             self._view = view
@@ -72,15 +73,15 @@
             self._discard_old(now_s)
 
     def handle_notices(self, message: ReplicaNotices) -> None:
-        """Take in what a peer has heard."""
+        """Apply the notices that a peer has received from replicas."""
         now_s = self._state.clock()
         by_incarnation = {item.order_hash: item for item in self._state.fleet.replicas()}
-        for note in message.entries:
-            self._announced_at_s[note.incarnation] = now_s
-            self._to_resend.pop(note.incarnation, None)
-            replica = by_incarnation.get(note.incarnation)
+        for entry in message.entries:
+            self._announced_at_s[entry.incarnation] = now_s
+            self._to_resend.pop(entry.incarnation, None)
+            replica = by_incarnation.get(entry.incarnation)
             if replica is not None:
-                self._apply_entry(message.sender_id, replica, note)
+                self._apply_entry(message.sender_id, replica, entry)
 
     def _apply_entry(
         self, sender_id: str, replica: RelayReplica, entry: ReplicaNoticeEntry
@@ -89,12 +90,12 @@
         if not pause.is_empty:
             self._state.notices.handle_peer_report(sender_id, replica, pause)
         if entry.limit is not None:
-            heard_s = self._state.clock() - entry.limit.age_ms / 1000.0
+            received_at_s = self._state.clock() - entry.limit.age_ms / 1000.0
             self._state.limits.handle_peer_report(
-                sender_id, replica, ReportedLimit(entry.limit.per_s, heard_s)
+                sender_id, replica, ReportedLimit(entry.limit.per_s, received_at_s)
             )
 
-    # What this daemon hears itself
+    # Notices in this daemon's own answers
 
     def _queue_limit(self, replica: RelayReplica, change: LimitChange) -> None:
         if change is LimitChange.NOTHING:
@@ -113,10 +114,10 @@
             self._call_later(BATCH_WINDOW_S, self._flush)
         self._pending[replica.order_hash] = replica
 
-    # Telling
+    # Sending
 
     def _resend_due(self, now_s: float) -> None:
-        """Tell what still holds, unless somebody just has."""
+        """Resend notices, unless another daemon has broadcast them recently."""
         due = [
             key
             for key, replica in self._to_resend.items()
@@ -127,7 +128,7 @@
             self._flush()
 
     def _discard_old(self, now_s: float) -> None:
-        """Keep only what may still hold back a retelling: replicas come and go for months."""
+        """Drop times that no longer delay a resend; incarnations would accumulate otherwise."""
         self._announced_at_s = {
             key: at_s
             for key, at_s in self._announced_at_s.items()
@@ -135,19 +136,19 @@
         }
 
     def _flush(self) -> None:
-        news, self._pending = list(self._pending.values()), {}
-        for first in range(0, len(news), MAX_ENTRIES_PER_MESSAGE):
-            notes = tuple(
+        replicas, self._pending = list(self._pending.values()), {}
+        for first in range(0, len(replicas), MAX_ENTRIES_PER_MESSAGE):
+            entries = tuple(
                 self._entry_for(replica)
-                for replica in news[first : first + MAX_ENTRIES_PER_MESSAGE]
+                for replica in replicas[first : first + MAX_ENTRIES_PER_MESSAGE]
             )
-            self._peers.broadcast(ReplicaNotices(self._state.settings.node_id, notes))
-        for replica in news:
+            self._peers.broadcast(ReplicaNotices(self._state.settings.node_id, entries))
+        for replica in replicas:
             key = replica.order_hash
             self._announced_at_s[key] = self._state.clock()
-            left = self._resends_left.pop(key, 0)
-            if left:
-                self._resends_left[key] = left - 1
+            remaining = self._resends_left.pop(key, 0)
+            if remaining:
+                self._resends_left[key] = remaining - 1
                 self._to_resend[key] = replica
 
     def _entry_for(self, replica: RelayReplica) -> ReplicaNoticeEntry:
--- a/winchfork/router/notice_registry.py
+++ b/winchfork/router/notice_registry.py
@@ -1,4 +1,4 @@
-"""Books what answers say of replicas on the incarnations that gave them, and logs what changes."""
+"""Records the notices in replicas' answers by incarnation, and logs their changes."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     from winchfork.router.state import RouterState
 
 
-#: Unknown words of replicas that are counted and logged by name; more are not told apart.
+#: Unknown headers that are counted and logged by name; further names are ignored.
 MAX_UNKNOWN_HEADERS = 16
 
 
 class NoticeRegistry:
-    """The notices of all replicas, on the beliefs of one process."""
+    """The notices of all replicas as known to one process."""
 
     def __init__(self, state: RouterState) -> None:
         self._state = state
@@ -31,18 +31,18 @@
             state.metrics.unknown_headers, MAX_UNKNOWN_HEADERS
         )
         self._peer_reports = PeerReports()
-        #: Told of each replica that has said to this daemon that it drains or wants a pause.
+        #: Called when an answer to this daemon says that its replica drains or begins a backoff.
         self.on_notice_received: Callable[[RelayReplica], None] = lambda replica: None
-        #: Seconds since 1970, by which replicas date their starts.
+        #: Seconds since 1970, the clock of the replicas' start times.
         self.wall_clock: Callable[[], float] = time.time
 
     def record(
         self, replica: RelayReplica, notice: AnswerNotice, request_sent_at_s: float | None = None
     ) -> None:
-        """Take in what an answer says of the replica that was asked.
+        """Record the notice of a replica's answer.
 
-        ``answers_sent_s`` is when the request was sent that it answers, if a replica's own program
-        answers a request: only these name no limit where there is none.
+        ``request_sent_at_s`` is when the answered request was sent, if the replica's own program
+        answered it; only then does an answer without a limit mean that there is none.
         """
         if request_sent_at_s is not None and not notice.has_limit:
             self._state.limits.record_unlimited_answer(replica, request_sent_at_s)
@@ -74,11 +74,11 @@
     def handle_peer_report(
         self, sender_id: str, replica: RelayReplica, report: ReportedPause
     ) -> None:
-        """Take in what a replica has said to a peer."""
+        """Apply a notice that a peer has received from a replica."""
         now_s = self._state.clock()
         service = self._state.fleet.of_service(replica.listing.service)
-        heeded = {item.order_hash for item in service if item.notice.available_in_s(now_s) > 0.0}
-        if not self._peer_reports.accept(replica.order_hash, sender_id, heeded, len(service)):
+        accepted = {item.order_hash for item in service if item.notice.available_in_s(now_s) > 0.0}
+        if not self._peer_reports.accept(replica.order_hash, sender_id, accepted, len(service)):
             return
         if replica.notice.apply_peer_pause(report, now_s):
             log_event(
@@ -92,15 +92,18 @@
             )
 
     def adopt(self, replica: RelayReplica) -> None:
-        """Heed what a new incarnation may have said itself before the list told of it."""
+        """Adopt the previous incarnation's notice, if this one may have sent it before its listing.
+
+        An answer does not say which incarnation of a replica has sent it.
+        """
         if not replica.listing.started_at_ms:
             return
-        former = self._state.fleet.previous_notice(replica)
-        if former is None:
+        previous = self._state.fleet.previous_notice(replica)
+        if previous is None:
             return
         now_s = self._state.clock()
         age_s = self.wall_clock() - replica.listing.started_at_ms / 1000.0
-        if replica.notice.adopt(former, now_s - age_s, now_s):
+        if replica.notice.adopt(previous, now_s - age_s, now_s):
             self._state.limits.mark_listed(replica)
             log_event(
                 "replica_notice",
@@ -108,7 +111,7 @@
                 notice="adopted",
                 backoff_s=max(0.0, replica.notice.backoff_until_s - now_s),
                 limit_per_s=replica.notice.limit.per_s,
-                heard_s_ago=now_s - former.received_at_s,
+                heard_s_ago=now_s - previous.received_at_s,
                 started_s_ago=age_s,
             )
 
