--- a/winchfork/router/peer_messages.py
+++ b/winchfork/router/peer_messages.py
@@ -1,4 +1,8 @@
-"""What router processes tell each other; the order of types is the wire."""
+"""Messages between router processes.
+
+Messages are encoded as arrays, so the order of their fields is part of the wire format, as is the
+order of ``PEER_MESSAGE_TYPES``.
+"""
 
 from __future__ import annotations
 
@@ -9,10 +13,10 @@
 
 
 class ReplicaLoadEntry(PeerMessage, frozen=True):
-    """The sender's own work on one replica, which is named by the hash of its id.
+    """The sender's own work on one replica, which is identified by the hash of its id.
 
-    ``memory_tokens`` is what this work may come to take of its memory; ``busy_steps`` is when the
-    last of it is expected to end, from now, in steps of 50 ms.
+    ``memory_tokens`` is the most cache memory that this work may take; ``busy_steps`` is the time
+    until the last of it is expected to end, in steps of 50 ms.
     """
 
     replica_hash: int
@@ -23,14 +27,17 @@
 
 
 class CachedPartsEntry(PeerMessage, frozen=True):
-    """A replica has read these parts, each named by the hash of its namespace and id."""
+    """Prompt parts that a replica has cached, each as the hash of its namespace and id."""
 
     replica_hash: int
     parts: tuple[int, ...]
 
 
 class Activity(PeerMessage, frozen=True):
-    """What the sender has done lately; ``correction`` is for a hub that guesses at the quotas."""
+    """The sender's current work and recent changes.
+
+    ``correction`` has the sender's quota levels for a hub that only has a guess.
+    """
 
     sender_id: str
     loads: tuple[ReplicaLoadEntry, ...]
@@ -40,10 +47,10 @@
 
 
 class WeightsEntry(PeerMessage, frozen=True):
-    """A replica's weights version, and what the rollout asks for it.
+    """A replica's weights version, and its restrictions during a rollout.
 
-    ``incarnation`` tells the replica from an earlier or a later one under the same id. It must be
-    given no work for ``held_ms``, and had better be given no long work for ``next_ms``.
+    ``incarnation`` distinguishes starts of the replica under the same id. It must get no work for
+    ``held_ms``, and should get no long work for ``next_ms``.
     """
 
     replica_id: str
@@ -55,7 +62,7 @@
 
 
 class WeightsProgress(PeerMessage, frozen=True):
-    """The rollout leader's notes, under its fence."""
+    """The entries of the rollout leader that holds ``fence``."""
 
     sender_id: str
     fence: int
@@ -63,7 +70,7 @@
 
 
 class VersionAgeEntry(PeerMessage, frozen=True):
-    """The sender heard this long ago that operators named a version."""
+    """How long ago the sender learned that operators had named a version."""
 
     model: str
     version: int
@@ -71,15 +78,15 @@
 
 
 class VersionAges(PeerMessage, frozen=True):
-    """What a daemon that has just started cannot learn from the store: the ages of versions."""
+    """The ages of versions, which a daemon that has just started cannot learn from the store."""
 
     entries: tuple[VersionAgeEntry, ...]
 
 
 class Resignation(PeerMessage, frozen=True):
-    """The leader under ``fence`` stops as planned and gives no more orders.
+    """The leader that holds ``fence`` shuts down and gives no more orders.
 
-    ``last_order_ms`` is the age of its last order, ``uptime_ms`` how long it has run.
+    ``last_order_ms`` is the age of its last order, ``uptime_ms`` the time since its start.
     """
 
     fence: int
@@ -88,14 +95,14 @@
 
 
 class FailureReport(PeerMessage, frozen=True):
-    """The sender has ejected a replica for failures that it has seen itself."""
+    """The sender has ejected a replica for failures of its own requests."""
 
     sender_id: str
     replica_hash: int
 
 
 class ZoneWork(PeerMessage, frozen=True):
-    """What a zone's daemons do together, from a hub of that zone to the hubs of others."""
+    """The total work of a zone's daemons, from a hub of that zone to the hubs of others."""
 
     sender_id: str
     zone: str
@@ -106,9 +113,9 @@
 
 
 class FleetWork(PeerMessage, frozen=True):
-    """What all daemons do together, the receiver included, from a hub to its own zone.
+    """The total work of all daemons, the receiver included, from a hub to its own zone.
 
-    One that is not ``complete`` tells only the replicas whose work has changed.
+    A message that is not ``complete`` has only the replicas whose work has changed.
     """
 
     sender_id: str
@@ -116,13 +123,13 @@
     loads: tuple[ReplicaLoadEntry, ...]
     cached: tuple[CachedPartsEntry, ...]
     levels: QuotaLevels | None = None
-    #: Zones that cannot be reached from this one, and whether it hears no other.
+    #: Zones that are unreachable from this one; whether this zone is cut off from all others.
     unreachable_zones: tuple[str, ...] = ()
     is_isolated: bool = False
 
 
 class ZoneQuotaUse(PeerMessage, frozen=True):
-    """What a zone's daemons have used of the tenants' quotas, in the words of one of its hubs."""
+    """The use of the tenants' quotas by a zone's daemons, as one of its hubs reports it."""
 
     sender_id: str
     zone: str
@@ -131,10 +138,10 @@
 
 
 class RegionWork(PeerMessage, frozen=True):
-    """What a region's daemons do together, from one of its speakers to those of other regions.
+    """The total work of a region's daemons, from one of its region hubs to those of other regions.
 
-    One that is not ``complete`` tells only the replicas whose work has changed. Speakers pass it on
-    to the hubs of their region.
+    A message that is not ``complete`` has only the replicas whose work has changed. The receiving
+    region hubs forward it to the hubs of their region.
     """
 
     sender_id: str
@@ -145,9 +152,9 @@
 
 
 class Forward(PeerMessage, frozen=True):
-    """A datagram that a hub is to take in and to pass on to the daemons of its zone.
+    """A datagram that a hub handles and forwards to the daemons of its zone.
 
-    One for the ``whole_region`` is passed on to the hubs of the region's other zones as well.
+    With ``whole_region`` it also forwards it to the hubs of the region's other zones.
     """
 
     datagram: bytes
@@ -155,7 +162,7 @@
 
 
 class DocumentPull(PeerMessage, frozen=True):
-    """The sender knows the store's entries up to a revision and asks for what came after it."""
+    """A request for the changes of the store's entries after the given revision."""
 
     sender_id: str
     sender_address: str
@@ -163,7 +170,7 @@
 
 
 class DocumentPart(PeerMessage, frozen=True):
-    """A part, from ``offset``, of a packed update of the store's entries; ``total`` in bytes."""
+    """The part of a packed update of the store's entries at ``offset``; ``total`` is in bytes."""
 
     sender_id: str
     base_revision: int
@@ -176,23 +183,23 @@
 
 
 class EraDocumentPull(PeerMessage, frozen=True):
-    """A pull of a daemon whose store has named an era; earlier builds do not know any."""
+    """A pull by a daemon whose store has an era; earlier builds ignore this message."""
 
     era: int
     pull: DocumentPull
 
 
 class EraDocumentPart(PeerMessage, frozen=True):
-    """A part of an update whose revisions are of an era."""
+    """A part of an update whose revisions belong to ``era``."""
 
     era: int
     part: DocumentPart
 
 
 class EvidenceEntry(PeerMessage, frozen=True):
-    """Answers on one route since an order was given, the route named by its hash.
+    """Counts of answers on one route, identified by its hash, since an order was given.
 
-    ``replica`` is the hash of one of the new version; 0: all replicas of the old one.
+    ``replica`` is the hash of a replica of the new version, or 0 for all replicas of the old one.
     """
 
     route: int
@@ -203,9 +210,9 @@
 
 
 class VersionEvidence(PeerMessage, frozen=True):
-    """All that one start of a daemon has seen of a software rollout, or that a whole zone has.
+    """Evidence on a software rollout, of one start of a daemon or of a whole zone.
 
-    ``zone`` is empty where one daemon speaks for itself.
+    ``zone`` is empty if the evidence is the sender's own.
     """
 
     sender_id: str
@@ -217,7 +224,7 @@
 
 
 class VersionStop(PeerMessage, frozen=True):
-    """The target of an order gets nothing more, and why."""
+    """The target version of an order gets no more requests, for ``cause``."""
 
     sender_id: str
     service: str
@@ -226,14 +233,14 @@
 
 
 class CrashReport(PeerMessage, frozen=True):
-    """A replica's incarnation has ended while it ran these requests of the sender's."""
+    """A replica's incarnation has crashed while running these requests of the sender."""
 
     incarnation: int
     digests: tuple[bytes, ...]
 
 
 class SuspectRunReport(PeerMessage, frozen=True):
-    """The sender runs a request under which two replicas have ended; 0 ms left: no longer."""
+    """The sender runs a request under which two replicas have crashed; at 0 ms its run is over."""
 
     sender_id: str
     digest: bytes
@@ -242,20 +249,20 @@
 
 
 class ClearedRequests(PeerMessage, frozen=True):
-    """Runs of these requests, under which replicas had ended, have ended well."""
+    """Suspected requests, under which replicas had crashed, that have now succeeded."""
 
     digests: tuple[bytes, ...]
 
 
 class LimitEntry(PeerMessage, frozen=True):
-    """A limit that an answer has named so many milliseconds ago; None: it named none any more."""
+    """The limit, in requests a second, in an answer of ``age_ms`` ago; None if it has ended."""
 
     per_s: float | None
     age_ms: int
 
 
 class ReplicaNoticeEntry(PeerMessage, frozen=True):
-    """What a replica has said of itself to the sender, the pause from now on."""
+    """The notice of a replica to the sender; its backoff is counted from the time of sending."""
 
     incarnation: int
     draining: bool
@@ -264,7 +271,7 @@
 
 
 class ReplicaNotices(PeerMessage, frozen=True):
-    """What replicas have said of themselves in the sender's own answers."""
+    """The notices of replicas in answers to the sender."""
 
     sender_id: str
     entries: tuple[ReplicaNoticeEntry, ...]
--- a/winchfork/router/peer_messenger.py
+++ b/winchfork/router/peer_messenger.py
@@ -1,4 +1,4 @@
-"""What the parts of a router process need of its peers."""
+"""The interface through which parts of a router process send messages to its peers."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class PeerMessenger(Protocol):
-    """Datagrams to other router processes; nothing here waits, and nothing is certain to arrive."""
+    """Sends datagrams to other router processes, without blocking or guarantee of delivery."""
 
     @property
     def view(self) -> FleetView:
-        """The daemons and the hubs, as this daemon sees them now."""
+        """This daemon's current view of the members and hubs."""
         ...
 
     def send(self, address: str, message: Any) -> None:
@@ -26,5 +26,5 @@
         ...
 
     def broadcast(self, message: Any) -> None:
-        """Send one message to every daemon, through the hubs where the fleet is large."""
+        """Send one message to every other daemon, through the hubs unless in a full mesh."""
         ...
--- a/winchfork/router/peer_wiring.py
+++ b/winchfork/router/peer_wiring.py
@@ -1,4 +1,4 @@
-"""Gives each kind of message from peers to the part that takes it in."""
+"""Creates the exchanges with peers, and registers the handler of each message type."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class PeerExchanges(msgspec.Struct, frozen=True):
-    """What the leader's duties need of what was connected."""
+    """The exchanges that the leader's duties use."""
 
     weights: WeightsExchange
     evidence: EvidenceExchange
@@ -51,20 +51,20 @@
 def connect_peers(
     state: RouterState, peers: PeerGroup, sync: StoreSync, leadership: Leadership
 ) -> PeerExchanges:
-    """Connect a process's parts to its peers."""
+    """Connect the parts of this process to its peers."""
     call_later = asyncio.get_running_loop().call_later
     evidence = EvidenceExchange(state, peers, call_later)
     quotas = QuotaExchange(state, peers)
     regions = RegionExchange(state, peers, quotas)
     work = WorkExchange(state, peers, call_later, quotas, regions)
-    news = WeightsExchange(state, peers)
+    weights = WeightsExchange(state, peers)
     relay = DocumentRelay(state, peers, sync, call_later)
     peers.register_handler(Activity, work.handle_activity)
     peers.register_handler(ZoneWork, work.handle_zone)
     peers.register_handler(RegionWork, work.handle_region)
     peers.register_handler(FleetWork, work.handle_fleet)
-    peers.register_handler(WeightsProgress, news.handle_weights)
-    peers.register_handler(VersionAges, news.handle_version_ages)
+    peers.register_handler(WeightsProgress, weights.handle_weights)
+    peers.register_handler(VersionAges, weights.handle_version_ages)
     peers.register_handler(Resignation, leadership.handle_resignation)
     peers.register_handler(
         FailureReport,
@@ -86,11 +86,11 @@
     peers.register_handler(DocumentPart, relay.handle_part)
     peers.register_handler(EraDocumentPull, relay.handle_era_pull)
     peers.register_handler(EraDocumentPart, relay.handle_era_part)
-    peers.on_tick += [state.stall_detector.tick, news.send_version_ages, work.tick, notices.tick]
+    peers.on_tick += [state.stall_detector.tick, weights.send_version_ages, work.tick, notices.tick]
     if state.settings.software_rollouts:
         peers.on_tick.append(evidence.tick)
     peers.on_position = relay.handle_position
     sync.set_relay(relay)
     leadership.eligible = lambda: relay.may_lead
     leadership.newest_era = lambda: state.eras.newest
-    return PeerExchanges(news, evidence, notices)
+    return PeerExchanges(weights, evidence, notices)
--- a/winchfork/router/peers.py
+++ b/winchfork/router/peers.py
@@ -1,8 +1,8 @@
-"""Datagrams between router processes: the socket, membership, and what goes to whom.
+"""Datagrams between router processes: the socket, membership, and the routing of messages.
 
-Everything said here is advice with an age: a lost datagram costs efficiency, never a promise. What
-concerns everybody goes to every member of a small fleet, and through the hubs of a large one, so
-that a daemon's cost does not grow with the fleet.
+Delivery is best effort: a lost datagram may cost efficiency but breaks no guarantee. Broadcasts go
+to every member directly in a full mesh, and otherwise through the hubs, so that a daemon's cost
+does not grow with the number of members.
 """
 
 from __future__ import annotations
@@ -36,25 +36,25 @@
 )
 from winchfork.router.state import RouterState
 
-#: Seconds between two looks at what is to be told, and between those of a hub.
+#: Seconds between two ticks of a daemon, and of a hub.
 TICK_PERIOD_S = 0.2
 HUB_TICK_PERIOD_S = 0.05
-#: Seconds between two questions to a hub, a little less than two ticks; a hub asks a watcher more
-#: often, since its whole zone is no more current than the answer.
+#: Seconds between two probes of a hub, and between those of a watcher by a hub, whose whole zone is
+#: no more current than the reply.
 HUB_PROBE_PERIOD_S = 0.35
 WATCHER_PROBE_PERIOD_S = 0.2
-#: Daemons that budgets are shared among beyond those seen, for machines that are coming back.
+#: Daemons beyond the known members among which budgets are shared, for machines that return.
 _SPARE_DAEMONS = 3
-#: Keeps other systems' datagrams out; it is no secret, the network is the platform's.
+#: Rejects datagrams of other systems; not a secret, since the network is trusted.
 _CLUSTER_KEY = b"winchfork-router-peers"
-#: Age told by a daemon that has no proof.
+#: Age sent by a daemon without a proof of freshness.
 _NO_PROOF_AGE_S = 3600.0
 
-#: Peer addresses kept in parsed form: more than the target size of 420 daemons.
+#: Parsed peer addresses.
 _ADDRESS_CACHE_SIZE = 1024
 
-#: Seconds in which a datagram that comes again is the copy that another hub has passed on. What is
-#: told anew in the same words, such as an accusation, comes a second or more later.
+#: Seconds in which a repeated datagram is a copy that another hub has forwarded. Messages that are
+#: sent again on purpose, such as failure reports, follow at longer intervals.
 _FORWARD_DEDUP_S = 0.5
 
 _Message = TypeVar("_Message")
@@ -67,7 +67,7 @@
 
 
 class PeerGroup(asyncio.DatagramProtocol):
-    """This process among its peers; implements :class:`.peer_messenger.PeerMessenger`."""
+    """This process's membership and socket; implements :class:`.peer_messenger.PeerMessenger`."""
 
     def __init__(self, state: RouterState, generator: random.Random) -> None:
         settings = state.settings
@@ -77,7 +77,7 @@
         self._port = settings.peer_ports[0]
         self._codec = PeerCodec(_CLUSTER_KEY, PEER_MESSAGE_TYPES)
         own_address = f"{settings.machine_ip}:{self._port}"
-        # Only orders this daemon's own lives; a clock that stepped back is corrected by refuting.
+        # Orders the starts of this daemon; after a clock step backwards, refutation corrects it.
         incarnation = int(time.time() * 1000)
         own = Member(
             settings.node_id,
@@ -99,17 +99,17 @@
         self._handlers: dict[type, Callable[[Any], None]] = {}
         self._view = FleetView.of(own, [own], settings.regions)
         self._view_version = -1
-        #: Told of each tick: the monotonic time.
+        #: Called on each tick with the monotonic time.
         self.on_tick: list[Callable[[float], None]] = []
-        #: Told of the address and the position in the store of each peer that answers.
+        #: Called with the address and store position of each peer that knows a later position.
         self.on_position: Callable[[str, StorePosition], None] = lambda address, position: None
-        #: Digests of what was lately passed on, and when.
+        #: When recent datagrams were forwarded, by digest.
         self._forwarded: dict[int, float] = {}
-        #: Seconds for a connection to the store to come up; None until one has.
+        #: Seconds that a connection to the store takes to establish; None until one is.
         self.store_delay_s: Callable[[], float | None] = lambda: None
         self.sent_bytes = 0
         self.sent_messages = 0
-        #: Of these bytes, those of work, notes and updates to daemons of other regions.
+        #: Bytes sent to daemons of other regions by ``send_each``; membership is not counted.
         self.cross_region_bytes = 0
         self.register_handler(Probe, self._handle_membership)
         self.register_handler(ProbeReply, self._handle_membership)
@@ -117,7 +117,7 @@
         self.register_handler(Forward, self._handle_forward)
 
     async def open(self) -> None:
-        """Bind the socket and greet the seeds; without ports there are no peers."""
+        """Bind the socket and contact the seeds; without a peer port, do nothing."""
         if not self._port:
             return
         await self._loop.create_datagram_endpoint(
@@ -145,11 +145,11 @@
     def register_handler(
         self, message_type: type[_Message], handler: Callable[[_Message], None]
     ) -> None:
-        """Give messages of one type to ``handler``."""
+        """Call ``handler`` with each received message of one type."""
         self._handlers[message_type] = handler
 
     def leave(self) -> None:
-        """Tell some members of a planned stop."""
+        """Announce a planned shutdown to some members."""
         self._membership.leave()
         self._send_all(self._membership.tick(self._loop.time()))
 
@@ -159,14 +159,14 @@
             self._transport.close()
 
     def member_count(self) -> int:
-        """Return how many daemons are believed to work, this one included."""
+        """Return how many daemons are members, this one included."""
         return len(self._membership.members())
 
-    # PeerPort
+    # PeerMessenger
 
     @property
     def view(self) -> FleetView:
-        """The daemons and the hubs, as of the last tick."""
+        """The members and hubs, as of the last tick."""
         return self._view
 
     def send(self, address: str, message: Any) -> None:
@@ -204,11 +204,11 @@
     # asyncio.DatagramProtocol
 
     def connection_made(self, transport: Any) -> None:
-        """Take the transport."""
+        """Store the transport."""
         self._transport = transport
 
     def datagram_received(self, data: bytes, sender: Any) -> None:
-        """Take a datagram in; what was not made by a peer is counted and dropped."""
+        """Handle a datagram; one that is not a valid peer message is counted and dropped."""
         message = self._codec.decode(data)
         handler = self._handlers.get(type(message))
         if handler is not None:
@@ -217,7 +217,7 @@
             self._state.metrics.bad_datagrams.inc()
 
     def error_received(self, error: Exception) -> None:
-        """A peer's machine refused a datagram; membership finds out by itself."""
+        """Count a datagram that a peer's machine refused; membership detects the failure."""
         self._state.metrics.datagrams_refused.inc()
 
     # Internals
@@ -246,28 +246,28 @@
         return WATCHER_PROBE_PERIOD_S if self._view.is_hub else HUB_PROBE_PERIOD_S
 
     def _refresh_view(self) -> None:
-        """Renew the view of the fleet when a member has changed."""
+        """Rebuild the view if membership has changed."""
         if self._view_version == self._membership.change_count:
             return
         self._view_version = self._membership.change_count
         members = self._membership.members()
         self._view = FleetView.of(self._membership.own, members, self._state.settings.regions)
         self._state.daemon_count = len(members) + _SPARE_DAEMONS
-        # In a large fleet only the few are asked that keep a daemon informed.
-        most = len(self._view.others) // 2 + 1
-        self._state.store_outage.peers_needed = most if self._view.is_full_mesh else 1
+        # Outside a full mesh only the few proof sources are probed.
+        majority = len(self._view.others) // 2 + 1
+        self._state.store_outage.peers_needed = majority if self._view.is_full_mesh else 1
 
     def _announce_store_delay(self) -> None:
-        """Announce once how far the store is, so that the daemons near it watch it and lead."""
+        """Announce the delay to the store once, so that daemons near it watch it and lead."""
         delay_s = self.store_delay_s()
         if delay_s is not None and not self._membership.own.store_delay_ms:
             self._membership.announce_store_delay(max(1, round(delay_s * 1000)))
 
     def _probe_informant(self, now_s: float) -> None:
-        """Ask how current one of those is that keep this daemon informed.
+        """Probe a random proof source for its store position and freshness.
 
-        In a small fleet nobody does; all are asked when the store does not answer here, to learn
-        whether it answers others.
+        In a full mesh there is none; all members are probed while a store outage is suspected, to
+        learn whether they can reach the store.
         """
         view = self._view
         if view.is_full_mesh:
@@ -281,9 +281,9 @@
         self._send_all(self._membership.receive(message, self._loop.time()))
 
     def _handle_forward(self, message: Forward) -> None:
-        """Take in what another daemon has to say to everybody, and pass it on in this zone.
+        """Handle a broadcast of another daemon, and forward it within this zone.
 
-        What another region has to say comes to both speakers of this one; once is enough.
+        Both hubs may forward the same datagram; only its first copy is handled.
         """
         if self._is_duplicate(message.datagram):
             return
@@ -313,12 +313,12 @@
         self._forwarded[digest] = now_s
         return False
 
-    # Proofs that the operators' documents are current
+    # Proofs of freshness of the operators' documents
 
     def _own_proof(self) -> tuple[int, ...]:
-        """Return the store's revision held here, the age of its proof in milliseconds, its era.
+        """Return this daemon's store revision, the age of its proof in milliseconds, and its era.
 
-        Earlier builds, which know no eras, take no proof that names one.
+        The era is left out if there is none; earlier builds ignore a proof that has one.
         """
         age_s = self._state.freshness.age_s(self._loop.time())
         position = self._state.store_position
@@ -328,10 +328,9 @@
     def _handle_proof(
         self, sender: Member, revisions: tuple[int, ...], requested_at_s: float
     ) -> None:
-        """Adopt a peer's proof, dated from the question: however late the answer is read.
+        """Adopt a peer's proof of freshness, dated from the probe and not from the reply's arrival.
 
-        It counts only here if everything up to the peer's position is known here as well, and if
-        the peer is not left in an era that is over.
+        It counts only if this daemon has reached the peer's position, within the same era.
         """
         settings = self._state.settings
         if settings.regions.is_cross_region(settings.zone, sender.zone):
