--- a/winchfork/router/quota_exchange.py
+++ b/winchfork/router/quota_exchange.py
@@ -1,9 +1,9 @@
-"""Daemons tell each other how much of the tenants' quotas they have used.
+"""Exchanges the use of the tenants' quotas between daemons, as part of their messages about work.
 
-The news rides on the messages about work. In a small fleet every daemon counts what every other
-tells. In a larger one the hubs count their zone's use and that of other zones, and tell their zone
-how much is missing from each bucket. A daemon that hears no hub, and a hub that does not hear every
-zone, counts on a part of the limits only: see ``coverage``.
+In a full mesh every daemon counts the use that every other reports. Otherwise the hubs count the
+use of their zone and of other zones, and send their zone the levels of the token buckets. A daemon
+without recent reports from a hub, and a hub without reports from every zone, uses only a share of
+the limits: see :class:`.tenant_quota.RefillShare`.
 """
 
 from __future__ import annotations
@@ -23,34 +23,29 @@
 from winchfork.router.settings import RouterBounds
 from winchfork.router.state import ASSUMED_DAEMON_COUNT, RouterState
 
-#: Seconds without a word after which a hub, or another zone, is taken to be out of reach: two of
-#: the complete messages that a hub sends each half second.
+#: Seconds without a report after which a hub, a daemon or another zone counts as unreachable.
 SILENCE_S = 1.0
-#: Seconds of silence after which another hub is listened to as the speaker of its zone: a little
-#: more than that hub waits before it speaks.
+#: Seconds without a report after which another hub of a zone becomes its active one: a little more
+#: than that hub waits before it sends.
 ACTIVE_HUB_SILENCE_S = 0.75
-#: Seconds for which a hub's word holds: where a tenant is at its limit there is one in each tick of
-#: a hub, and elsewhere the buckets are full.
+#: Seconds for which a hub's levels are valid.
 HUB_REPORT_TTL_S = 0.25
-#: The same for what small fleets and hubs hear of each other: between two ticks, and two complete
-#: messages of hubs.
+#: Seconds within which a daemon of a full mesh, or a hub, has to receive any report.
 MAX_REPORT_GAP_S = 0.55
-#: Seconds after its start for which a daemon that no hub has spoken to counts on its own part only.
+#: Seconds after its start for which a daemon without a hub's report uses its equal share only.
 STABILIZATION_S = 4.0
-#: The same for one that takes itself for a hub: until it knows the fleet, many do.
+#: The same for a daemon that sees itself as a hub, as new daemons may until they know all members.
 HUB_STABILIZATION_S = 0.6
-#: The same in a small fleet, whose daemons all know each other after a few probes.
+#: The same in a full mesh, whose daemons know each other after a few probes.
 SMALL_FLEET_STABILIZATION_S = 1.5
-#: Part of its equal share on which a daemon counts while it is out of reach: others count on the
-#: whole until they notice. At a half, a third of 79 daemons cut off went 0.5 % over a bound.
+#: Part of its equal share that an isolated daemon uses: others use the whole until they notice.
 ISOLATED_SHARE = 0.25
-#: Seconds for which a daemon that has vanished may go on using quotas unheard, where its keys do
-#: not expire.
+#: Seconds for which a daemon that has vanished may go on using quotas, if API keys never expire.
 VANISHED_DAEMON_USE_S = 60.0
 
 
 def daemon_memory_s(bounds: RouterBounds) -> float:
-    """Return for how long a daemon that has vanished still counts as part of the fleet."""
+    """Return for how many seconds a vanished daemon still counts as using quotas."""
     return bounds.revoke_s if bounds.fail_closed else VANISHED_DAEMON_USE_S
 
 
@@ -65,41 +60,41 @@
         self._has_other_seeds = any(
             seed.rpartition(":")[0] != own_ip for seed in state.settings.seeds
         )
-        self._use_reader = UsageReceiver()
-        self._zone_use = UsageTotals(state.start_id)
-        #: This daemon's last report that its zone's totals lack.
+        self._daemon_receiver = UsageReceiver()
+        self._zone_usage = UsageTotals(state.start_id)
+        #: This daemon's last report, until it is counted in its zone's totals.
         self._pending_own_report: QuotaReport | None = None
-        #: When each daemon was last seen to work, by id, and its zone.
+        #: When each daemon was last alive, and its zone, by id.
         self._seen: dict[str, tuple[float, str]] = {}
-        self._zone_reader = UsageReceiver()
-        #: The hub that speaks for each other zone, and when it was last heard.
+        self._zone_receiver = UsageReceiver()
+        #: The active hub of each other zone, and when its last message was received.
         self._active_hubs: dict[str, tuple[str, float]] = {}
         self._daemon_received_at_s: dict[str, float] = {}
         self._hub_received_at_s: float | None = None
-        #: Whether the levels are a guess: true from the start until somebody tells, or for as long
-        #: as a bucket takes to fill.
+        #: Whether the levels are a guess: from the start until reported levels are adopted, at most
+        #: for ``STABILIZATION_S``.
         self._is_guessing = True
-        #: Whether a hub of this zone guesses while this daemon knows.
+        #: Whether a hub of this zone has a guess while this daemon has certain levels.
         self._hub_needs_correction = False
 
     @property
     def _ledger(self) -> QuotaLedger:
         return self._state.quotas
 
-    # Telling
+    # Sending
 
     def own_report(self, now_s: float) -> QuotaReport | None:
-        """Return what this daemon has used lately."""
+        """Return this daemon's totals that have changed recently, or None."""
         report = self._ledger.own_usage.report(now_s)
         self._pending_own_report = report or self._pending_own_report
         return report
 
     def zone_report(self, now_s: float) -> QuotaReport | None:
-        """Return what this hub's zone has used lately, this hub's own use included."""
+        """Return the recently changed totals of this hub's zone, its own use included, or None."""
         if self._pending_own_report is not None:
             self._count_for_zone(self._state.settings.node_id, self._pending_own_report, now_s)
             self._pending_own_report = None
-        return self._zone_use.report(now_s)
+        return self._zone_usage.report(now_s)
 
     def levels(self, now_s: float, *, complete: bool) -> QuotaLevels:
         """Return this daemon's estimates."""
@@ -108,18 +103,18 @@
         return QuotaLevels(coverage_percent, complete, self._is_guessing, levels)
 
     def correction(self, now_s: float) -> QuotaLevels | None:
-        """Return what a hub that guesses is to be told; None where there is nothing to correct."""
+        """Return the levels for a hub that has a guess; None if there is nothing to correct."""
         if not self._hub_needs_correction:
             return None
         self._hub_needs_correction = False
         return self.levels(now_s, complete=True)
 
-    # Hearing
+    # Receiving
 
     def handle_activity(
         self, sender_id: str, report: QuotaReport | None, correction: QuotaLevels | None
     ) -> None:
-        """Count what one daemon has used."""
+        """Count the use that one daemon reports."""
         now_s = self._state.clock()
         if correction is not None:
             self._adopt_levels(correction, now_s)
@@ -130,26 +125,26 @@
     def handle_zone(
         self, sender_id: str, zone: str, report: QuotaReport | None, levels: QuotaLevels | None
     ) -> None:
-        """Count what another zone has used.
+        """Count the use that another zone reports.
 
-        Both hubs of a zone have counted all of it. While the fleet changes both may speak, and only
-        one must be counted: the one that spoke before, until it falls silent.
+        Each hub of a zone counts the zone's whole use. While membership changes both may send, so
+        only the active hub's reports count: the one that sent before, until it falls silent.
         """
         now_s = self._state.clock()
-        speaker_id, heard_s = self._active_hubs.get(zone, (sender_id, self._started_s))
-        silent_s = now_s - heard_s
-        if sender_id == speaker_id or silent_s > ACTIVE_HUB_SILENCE_S:
+        active_id, received_at_s = self._active_hubs.get(zone, (sender_id, self._started_s))
+        silent_s = now_s - received_at_s
+        if sender_id == active_id or silent_s > ACTIVE_HUB_SILENCE_S:
             self._active_hubs[zone] = (sender_id, now_s)
-            speaker_id = sender_id
+            active_id = sender_id
         if report is not None:
-            untold = min(1.0, silent_s / RESEND_WINDOW_S)
-            news = self._zone_reader.receive(sender_id, report, untold)
-            self._ledger.add_remote_usage(news if sender_id == speaker_id else {}, now_s, silent_s)
+            unreported_share = min(1.0, silent_s / RESEND_WINDOW_S)
+            usage = self._zone_receiver.receive(sender_id, report, unreported_share)
+            self._ledger.add_remote_usage(usage if sender_id == active_id else {}, now_s, silent_s)
         if levels is not None:
             self._adopt_levels(levels, now_s)
 
     def handle_fleet(self, levels: QuotaLevels) -> None:
-        """Take the word of this zone's speaking hub; another hub only corrects its own by it."""
+        """Adopt the levels of this zone's active hub; another hub only replaces a guess by them."""
         now_s = self._state.clock()
         self._hub_received_at_s = now_s
         if self._peers.view.is_hub:
@@ -162,10 +157,10 @@
             self._is_guessing = self._is_guessing and levels.is_guess
 
     def _adopt_levels(self, levels: QuotaLevels, now_s: float) -> None:
-        """Take another's word in place of a guess.
+        """Replace a guess by another daemon's levels.
 
-        One who knows counts on by itself: another's word has use in it that is yet to be heard of
-        here, and would be counted twice.
+        Certain levels are not replaced: the other's include use that will be reported here later,
+        and would then be counted twice.
         """
         if self._is_guessing and levels.complete and not levels.is_guess:
             self._ledger.replace(levels, now_s)
@@ -174,29 +169,29 @@
     def _count_for_zone(
         self, sender_id: str, report: QuotaReport, now_s: float
     ) -> dict[int, float]:
-        news = self._use_reader.receive(sender_id, report)
-        for key, cost in news.items():
-            self._zone_use.add(key, cost, now_s)
-        return news
+        usage = self._daemon_receiver.receive(sender_id, report)
+        for key, cost in usage.items():
+            self._zone_usage.add(key, cost, now_s)
+        return usage
 
     # Coverage
 
     def tick(self, now_s: float) -> None:
-        """Find out how much of the limits this daemon may count on."""
+        """Update the share of the limits that this daemon may use."""
         view = self._peers.view
         self._update_seen(view, now_s)
         if now_s - self._started_s > STABILIZATION_S:
             self._is_guessing = False
-        self._ledger.set_refill_share(self._supply(view, now_s), now_s)
+        self._ledger.set_refill_share(self._refill_share(view, now_s), now_s)
 
-    def _supply(self, view: FleetView, now_s: float) -> RefillShare:
+    def _refill_share(self, view: FleetView, now_s: float) -> RefillShare:
         known = len(self._seen)
         if known <= 1 and self._has_other_seeds:
             return RefillShare(0.0, ISOLATED_SHARE / ASSUMED_DAEMON_COUNT, is_isolated=True)
         own_share = 1.0 / max(1, known)
         own_zone = self._state.settings.zone
-        alone = RefillShare(0.0, ISOLATED_SHARE * own_share, is_isolated=True)
-        waiting = RefillShare(0.0, ISOLATED_SHARE * own_share)
+        isolated = RefillShare(0.0, ISOLATED_SHARE * own_share, is_isolated=True)
+        uncertain = RefillShare(0.0, ISOLATED_SHARE * own_share)
         if self._is_stabilizing(view, now_s):
             return RefillShare(own_share)
         if view.is_full_mesh or view.is_hub:
@@ -204,17 +199,17 @@
             if not view.is_full_mesh and self._lacks_recent_reports(view, now_s):
                 missing = sum(1 for _, zone in self._seen.values() if zone != own_zone)
             if missing >= known - 1 > 0:
-                return alone
+                return isolated
             if view.is_full_mesh and self._lacks_recent_reports(view, now_s):
-                return waiting
+                return uncertain
             return RefillShare(1.0 - missing / known)
-        word_age_s = now_s - (self._hub_received_at_s or self._started_s)
-        if word_age_s > SILENCE_S:
-            return alone
-        return self._ledger.refill_share if word_age_s <= HUB_REPORT_TTL_S else waiting
+        report_age_s = now_s - (self._hub_received_at_s or self._started_s)
+        if report_age_s > SILENCE_S:
+            return isolated
+        return self._ledger.refill_share if report_age_s <= HUB_REPORT_TTL_S else uncertain
 
     def _is_stabilizing(self, view: FleetView, now_s: float) -> bool:
-        """Whether this daemon is too young to know the fleet, and knows no level from a hub."""
+        """Whether this daemon is too new to know all members, and has no levels from a hub."""
         age_s = now_s - self._started_s
         if view.is_full_mesh and len(view.members) > 1:
             return age_s <= SMALL_FLEET_STABILIZATION_S
@@ -226,24 +221,24 @@
         for member in view.members:
             if member.status is MemberStatus.ALIVE:
                 self._seen[member.member_id] = (now_s, member.zone)
-        forgotten_s = now_s - daemon_memory_s(self._state.settings.bounds)
-        for member_id in [key for key, (at_s, _) in self._seen.items() if at_s < forgotten_s]:
+        expired_before_s = now_s - daemon_memory_s(self._state.settings.bounds)
+        for member_id in [key for key, (at_s, _) in self._seen.items() if at_s < expired_before_s]:
             del self._seen[member_id]
 
     def _lacks_recent_reports(self, view: FleetView, now_s: float) -> bool:
-        """Whether no daemon of a small fleet, or no other zone's hub, was heard for some ticks.
+        """Whether no daemon of a full mesh, or no hub of another zone, has reported recently.
 
-        A zone whose hubs hear no other then counts on its own part of the limits: others count on
-        the whole for half a second longer, which the tolerance of the limits bears.
+        A zone whose hubs receive nothing then uses its own share of the limits; others use the
+        whole for half a second longer, which the tolerance of the limits covers.
         """
         if view.is_full_mesh:
-            heard = list(self._daemon_received_at_s.values())
+            times = list(self._daemon_received_at_s.values())
         else:
-            heard = [heard_s for _, heard_s in self._active_hubs.values()]
-        return bool(heard) and now_s - max(heard) > MAX_REPORT_GAP_S
+            times = [received_at_s for _, received_at_s in self._active_hubs.values()]
+        return bool(times) and now_s - max(times) > MAX_REPORT_GAP_S
 
     def _has_recent_report(self, member_id: str, now_s: float) -> bool:
-        """Whether the use of a daemon is known here."""
+        """Whether recent reports cover a daemon's use."""
         at_s, zone = self._seen[member_id]
         if at_s < now_s:
             return False
@@ -253,5 +248,5 @@
             return now_s - self._daemon_received_at_s.get(member_id, self._started_s) <= SILENCE_S
         if zone == self._state.settings.zone:
             return True
-        heard_s = self._active_hubs[zone][1] if zone in self._active_hubs else self._started_s
-        return now_s - heard_s <= SILENCE_S
+        received_at_s = self._active_hubs[zone][1] if zone in self._active_hubs else self._started_s
+        return now_s - received_at_s <= SILENCE_S
--- a/winchfork/router/quota_gate.py
+++ b/winchfork/router/quota_gate.py
@@ -1,4 +1,4 @@
-"""Admits requests by their tenants' quotas, before a replica or a place is taken for them."""
+"""Admits requests by their tenants' quotas, before they are queued or placed on a replica."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
         self._ledger.charge(self._tenant, self._cost, self._clock())
 
     def refund(self) -> None:
-        """Give back what a request has not used: it has not run and never will."""
+        """Give back the cost of a request that has not run and will not be sent again."""
         self._ledger.charge(self._tenant, -self._cost, self._clock())
 
 
 class QuotaGate:
-    """Lets requests through, or says when to come back."""
+    """Admits requests, or refuses them with the time after which to retry."""
 
     def __init__(
         self, ledger: QuotaLedger, clock: Callable[[], float], metrics: RouterMetrics
@@ -43,7 +43,11 @@
     def admit(
         self, tenant: TenantPolicy | None, declared_tokens: int | None
     ) -> QuotaCharge | Failure | None:
-        """Charge a request to its tenant; None where the tenant has no limit."""
+        """Charge a request to its tenant; None if the tenant has no limit.
+
+        The cost is in the unit of the tenant's limit. Without enough quota left, return a failure
+        with the seconds until the request would be admitted.
+        """
         if tenant is None or tenant.limit is None:
             return None
         cost = tenant.limit.cost(declared_tokens)
@@ -56,8 +60,8 @@
         coverage = self._ledger.refill_share.coverage
         return FailureKind.QUOTA_EXCEEDED.because(
             f"tenant {tenant.name} has {refusal.remaining:.0f} {unit} left of its quota of "
-            f"{tenant.limit.rate_per_s:.0f} a second, counted over {coverage:.0%} of "
-            f"the fleet; this request counts as {cost:.0f}",
-            remedy="come back after the time told, or ask the operators for a higher limit",
+            f"{tenant.limit.rate_per_s:.0f} per second, by the usage reports of {coverage:.0%} of "
+            f"the routers; this request costs {cost:.0f}",
+            remedy="retry after the given time, or ask the operators for a higher limit",
             retry_after_s=refusal.retry_after_s,
         )
--- a/winchfork/router/region_exchange.py
+++ b/winchfork/router/region_exchange.py
@@ -1,9 +1,9 @@
-"""The speakers of regions tell each other of their regions' work.
+"""Exchanges the work of regions between their region hubs.
 
-The link between two regions is narrow and long, and all callers' requests that cross share it. So
-one speaker tells the speakers of other regions the sum over its region, a few times a second and
-mostly only what has changed, and they pass it on to the hubs of theirs. Which parts of prompts a
-replica keeps is not told: they are read again in less time than they are copied between regions.
+To save bandwidth on the links between regions, which carry callers' requests as well, one hub of
+each region sends the sum over its region a few times a second, mostly only what has changed. The
+receiving hubs forward it to the hubs of their region. Cached prompt parts are not exchanged between
+regions: a prefill takes less time than copying them.
 """
 
 from __future__ import annotations
@@ -19,19 +19,18 @@
 from winchfork.router.state import RouterState
 from winchfork.router.work_totals import LoadsByReplica, ReceivedLoads, SentLoads
 
-#: Seconds between two messages to another region: some round trips, in which news of it would be
-#: no newer.
+#: Seconds between two messages to another region: a few round trips.
 SEND_INTERVAL_S = 0.2
-#: All of a region's work is told this often, and what has changed in between.
+#: Seconds between two complete messages; those in between have only what has changed.
 COMPLETE_PERIOD_S = 0.5
-#: A successor speaks when the first speaker has been silent for this long.
+#: Seconds without a message of the first region hub after which the second one sends.
 REGION_HUB_SILENCE_S = 0.7
-#: Uses of quotas kept for the next message: more than the zones of a region tell in its time.
+#: Quota reports of zones that are queued for the next message.
 MAX_PENDING_USES = 64
 
 
 class RegionExchange:
-    """This daemon's part in the exchange between regions; only speakers send anything."""
+    """This daemon's part in the exchange between regions; only region hubs send."""
 
     def __init__(self, state: RouterState, peers: PeerMessenger, quotas: QuotaExchange) -> None:
         self._state = state
@@ -45,13 +44,13 @@
         self._pending_uses: list[ZoneQuotaUse] = []
 
     def loads(self, now_s: float) -> list[ReceivedLoads]:
-        """Return what other regions are known to do."""
+        """Return the work received from other regions that has not expired."""
         return [item for region in self._regions.values() for item in region.fresh(now_s)]
 
-    # Telling
+    # Sending
 
     def record_zone(self, message: ZoneWork) -> None:
-        """Keep what a zone of this region has used of the quotas, and that its hub lives."""
+        """Queue the quota use of a zone of this region; note when the first region hub has sent."""
         view = self._peers.view
         if view.region_hubs and message.sender_id == view.region_hubs[0].member_id:
             self._first_hub_received_at_s = self._state.clock()
@@ -64,9 +63,9 @@
     def send_region_work(
         self, region_loads: Callable[[], tuple[ReplicaLoadEntry, ...]], now_s: float
     ) -> None:
-        """Tell other regions of this one, where this daemon is the one to do so and it is time.
+        """Send this region's work to other regions, if this daemon is the active hub and it is due.
 
-        ``region_loads`` adds up the work of the region.
+        ``region_loads`` sums the work of the region.
         """
         view = self._peers.view
         if not view.other_region_hubs or now_s - self._sent_at_s < SEND_INTERVAL_S:
@@ -92,10 +91,10 @@
         first = view.region_hubs[0].member_id == view.own.member_id
         return first or now_s - self._first_hub_received_at_s > REGION_HUB_SILENCE_S
 
-    # Hearing
+    # Receiving
 
     def handle_region(self, message: RegionWork) -> None:
-        """Take in what another region does; from there itself, pass it on in this region."""
+        """Store another region's work; forward it within this region if it came from there."""
         now_s = self._state.clock()
         view = self._peers.view
         if message.region == view.regions.region_of(view.own.zone):
--- a/winchfork/router/weights_announcer.py
+++ b/winchfork/router/weights_announcer.py
@@ -1,8 +1,7 @@
-"""The rollout leader's notes to its peers, collected into few messages.
+"""Announces the rollout leader's holds and releases of replicas to all members.
 
-Every message goes to every member, so its number must grow neither with the replicas under order
-nor with the reports that are asked for: notes that arise together share a message, and a hold is
-renewed only when half of it has passed.
+Every message goes to every member, so the number of messages must not grow with the number of
+replicas: entries are batched, and a hold is renewed only when half of it has passed.
 """
 
 from __future__ import annotations
@@ -13,24 +12,23 @@
 from winchfork.core.relay_replica import RelayReplica
 from winchfork.router.peer_messages import WeightsEntry
 
-#: Peers are told to send a replica nothing for this long at a time; renewed while under order.
+#: Seconds for which one message holds work back from a replica.
 HOLD_S = 1.5
-#: The same once a replica has taken an order, which it carries out whatever becomes of its leader:
-#: as long as loads take that wait for long answers.
+#: The same once a replica has accepted an order, which it carries out even if the leader is lost.
 ORDERED_HOLD_S = 4.0
-#: Peers are asked for no long work on the replicas that come next for this long at a time.
+#: Seconds for which one message keeps long work away from the replicas that load next.
 NEXT_S = 1.0
-#: Notes that arise within this time share a message.
+#: Seconds for which entries are collected into one message.
 BATCH_WINDOW_S = 0.005
-#: The same for renewals, which are in no hurry.
+#: The same for renewals of holds.
 RENEWAL_BATCH_WINDOW_S = 0.25
 
-#: Tells every member: the leader's fence and the notes.
+#: Sends the leader's fence and entries to every member.
 BroadcastWeights = Callable[[int, tuple[WeightsEntry, ...]], None]
 
 
 class WeightsAnnouncer:
-    """What has been told of each replica, and what is about to be."""
+    """Batches the leader's entries, and tracks the holds announced so far."""
 
     def __init__(self, broadcast: BroadcastWeights, clock: Callable[[], float]) -> None:
         self._broadcast = broadcast
@@ -39,20 +37,20 @@
         self._fence = 0
         self._flush_at_s = 0.0
         self._timer: asyncio.TimerHandle | None = None
-        #: Until when each incarnation is held, as told.
+        #: Until when each incarnation is held, as announced.
         self._held_until_s: dict[int, float] = {}
 
     def hold(
         self, replica: RelayReplica, model: str, fence: int, *, has_order: bool = False
     ) -> None:
-        """Keep new work away from a replica; tells nothing while a hold has long to run."""
+        """Hold new work back from a replica; no-op while more than half of its hold remains."""
         now_s = self._clock()
         hold_s = ORDERED_HOLD_S if has_order else HOLD_S
-        left_s = self._held_until_s.get(replica.order_hash, 0.0) - now_s
-        if left_s > hold_s / 2:
+        remaining_s = self._held_until_s.get(replica.order_hash, 0.0) - now_s
+        if remaining_s > hold_s / 2:
             return
         self._held_until_s[replica.order_hash] = now_s + hold_s
-        renewal = left_s > RENEWAL_BATCH_WINDOW_S
+        renewal = remaining_s > RENEWAL_BATCH_WINDOW_S
         self._enqueue(
             replica,
             model,
@@ -63,24 +61,24 @@
         )
 
     def release(self, replica: RelayReplica, model: str, fence: int) -> None:
-        """End a hold and tell the replica's version."""
+        """End a hold and announce the replica's version."""
         self._held_until_s.pop(replica.order_hash, None)
         self._enqueue(replica, model, fence, 0.0, 0.0, BATCH_WINDOW_S)
 
     def prepare(self, replica: RelayReplica, model: str, fence: int) -> None:
-        """Ask for no long work on a replica that comes next."""
+        """Keep long work away from a replica that loads next."""
         if replica.load_upcoming_until_s - self._clock() < NEXT_S / 2:
             self._enqueue(replica, model, fence, 0.0, NEXT_S, BATCH_WINDOW_S)
 
     def flush(self) -> None:
-        """Tell what has been collected."""
+        """Send the collected entries."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if self._pending:
-            notes = tuple(self._pending.values())
+            entries = tuple(self._pending.values())
             self._pending = {}
-            self._broadcast(self._fence, notes)
+            self._broadcast(self._fence, entries)
 
     def _enqueue(
         self,
--- a/winchfork/router/weights_exchange.py
+++ b/winchfork/router/weights_exchange.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of weights: rollout notes, and how long ago versions were named."""
+"""Exchanges weights versions and rollout holds of replicas, and the ages of named versions."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class WeightsExchange:
-    """Takes the rollout leader's notes in, and greets daemons that have just started."""
+    """Applies the rollout leader's messages, and sends version ages to new members."""
 
     def __init__(self, state: RouterState, peers: PeerMessenger) -> None:
         self._state = state
@@ -26,20 +26,20 @@
         self._last_view: FleetView | None = None
 
     def broadcast_weights(self, fence: int, entries: tuple[WeightsEntry, ...]) -> None:
-        """Tell every member of the replicas under order; apply it here as well."""
+        """Broadcast the leader's entries, and apply them here as well."""
         message = WeightsProgress(self._state.settings.node_id, fence, entries)
         self.handle_weights(message)
         self._peers.broadcast(message)
 
     def handle_weights(self, message: WeightsProgress) -> None:
-        """Apply the notes of the newest leader."""
+        """Apply the entries of a leader, unless a higher fence is known."""
         if message.fence < self._state.weights_fence:
             return
         self._state.weights_fence = message.fence
-        for note in message.entries:
-            replica = self._state.fleet.get(note.replica_id)
-            if replica is not None and replica.order_hash == note.incarnation:
-                self._apply(replica, note, message)
+        for entry in message.entries:
+            replica = self._state.fleet.get(entry.replica_id)
+            if replica is not None and replica.order_hash == entry.incarnation:
+                self._apply(replica, entry, message)
 
     def _apply(self, replica: RelayReplica, entry: WeightsEntry, message: WeightsProgress) -> None:
         now_s = self._state.clock()
@@ -64,35 +64,35 @@
         )
 
     def send_version_ages(self, now_s: float) -> None:
-        """Tell members seen for the first time how long ago each version was named.
+        """Send new members the time since each version was named.
 
-        In a large fleet the hubs greet their own zone and each other.
+        Outside a full mesh only hubs send, to their own zone and to the hubs of other zones.
         """
         view = self._peers.view
         if view is self._last_view:
             return
         self._last_view = view
-        greeted = view.others if view.is_full_mesh else []
+        receivers = view.others if view.is_full_mesh else []
         if not view.is_full_mesh and view.is_hub:
-            greeted = [*view.zone_peers, *view.other_zone_hubs]
-        members = {(member.member_id, member.incarnation): member for member in greeted}
-        newcomers = [members[key] for key in members.keys() - self._known_members]
+            receivers = [*view.zone_peers, *view.other_zone_hubs]
+        members = {(member.member_id, member.incarnation): member for member in receivers}
+        new_members = [members[key] for key in members.keys() - self._known_members]
         self._known_members = set(members)
-        notes = tuple(
+        entries = tuple(
             VersionAgeEntry(model, named.version, int((now_s - named.received_at_s) * 1000))
             for model, history in self._state.weights_versions.items()
             for named in history.versions
             if not named.assumed
         )
-        if notes:
-            self._peers.send_each(newcomers, VersionAges(notes))
+        if entries:
+            self._peers.send_each(new_members, VersionAges(entries))
 
     def handle_version_ages(self, message: VersionAges) -> None:
-        """Take a peer's word on when versions were named.
+        """Adopt the times at which versions were named, from a peer's message.
 
-        Its ages are of when it was sent; one that waited for this process to run is older.
+        Its ages are as of sending, so they are subtracted from the earliest possible arrival.
         """
         now_s = self._state.stall_detector.earliest_arrival_s(self._state.clock())
-        for note in message.entries:
-            history = self._state.weights_versions.setdefault(note.model, VersionHistory())
-            history.update_received_at(note.version, now_s - note.age_ms / 1000.0)
+        for entry in message.entries:
+            history = self._state.weights_versions.setdefault(entry.model, VersionHistory())
+            history.update_received_at(entry.version, now_s - entry.age_ms / 1000.0)
