--- a/winchfork/router/metrics.py
+++ b/winchfork/router/metrics.py
@@ -1,8 +1,7 @@
-"""Counters and latency histograms of one router process, and the page that shows them.
+"""Counters, gauges and latency histograms of one router process, and their exposition page.
 
-Figures are plain numbers while the process serves. ``prometheus_client`` writes the page, and is
-imported when a page is first asked for: it brings an HTTP server and client along, which every
-daemon of a large fleet would pay for at its start.
+Values are plain numbers until the page is rendered by ``prometheus_client``. That library is
+imported on the first page only, since it loads an HTTP server and client.
 """
 
 from __future__ import annotations
@@ -22,13 +21,13 @@
 
 
 class CounterChild:
-    """The count under one value of the label."""
+    """The count for one value of the label."""
 
     def __init__(self) -> None:
         self.value = 0
 
     def inc(self, amount: int = 1) -> None:
-        """Count one, or more."""
+        """Increase the count."""
         self.value += amount
 
 
@@ -42,19 +41,19 @@
 
 
 class HistogramChild:
-    """The seconds observed under one value of the label, by bucket."""
+    """The durations observed for one value of the label, by bucket."""
 
     def __init__(self) -> None:
         self.counts = [0] * (len(BUCKETS_S) + 1)
         self.sum_s = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Count one duration."""
+        """Record one duration."""
         self.counts[bisect.bisect_left(BUCKETS_S, seconds)] += 1
         self.sum_s += seconds
 
     def cumulative(self) -> list[tuple[str, float]]:
-        """Return each upper bound with the count up to it."""
+        """Return each bucket's upper bound and its cumulative count."""
         rows: list[tuple[str, float]] = []
         total = 0
         for bound, count in zip((*map(str, BUCKETS_S), "+Inf"), self.counts, strict=True):
@@ -67,7 +66,7 @@
 
 
 class LabelledMetric(Generic[_Child]):
-    """A figure for each value of one label, or under none where ``label`` is empty."""
+    """A metric with one child for each value of its label; without a label if it is empty."""
 
     def __init__(
         self, child_type: type[_Child], name: str, description: str, label: str = ""
@@ -78,12 +77,12 @@
         self.children: defaultdict[str, _Child] = defaultdict(child_type)
 
     def labels(self, value: str) -> _Child:
-        """Return the figure under one value."""
+        """Return the child for one label value."""
         return self.children[value]
 
 
 class _Gauge(msgspec.Struct, frozen=True):
-    """A figure that is read when the page is asked for."""
+    """A value that is read when the page is rendered."""
 
     name: str
     description: str
@@ -91,44 +90,46 @@
 
 
 class RouterMetrics:
-    """All figures of one process."""
+    """All metrics of one process."""
 
     def __init__(self) -> None:
         self.requests = LabelledMetric(
-            CounterChild, "winchfork_requests", "Requests ended, by outcome.", "outcome"
+            CounterChild, "winchfork_requests", "Finished requests, by outcome.", "outcome"
         )
         self.request_seconds = LabelledMetric(
             HistogramChild,
             "winchfork_request_seconds",
-            "From the first byte of a request to the end of its answer, by kind of route.",
+            "Seconds from the first byte of a request to the end of its answer, by kind of route.",
             "kind",
         )
         self._first_event = LabelledMetric(
             HistogramChild,
             "winchfork_first_event_seconds",
-            "From the first byte of a request to the first event of its stream.",
+            "Seconds from the first byte of a request to the first event of its stream.",
         )
         self.first_event_seconds = self._first_event.labels("")
         self.calls = LabelledMetric(
             CounterChild, "winchfork_calls", "Calls to the store and to replicas.", "call"
         )
-        self.bad_datagrams = Counter("winchfork_bad_datagrams", "Datagrams that no peer has made.")
+        self.bad_datagrams = Counter(
+            "winchfork_bad_datagrams", "Received datagrams that are not valid peer messages."
+        )
         self.datagrams_refused = Counter(
-            "winchfork_datagrams_refused", "Datagrams that a machine refused."
+            "winchfork_datagrams_refused", "Sent datagrams that the receiving machine refused."
         )
         self.documents_refused = Counter(
-            "winchfork_documents_refused", "Entries of the store that could not be read."
+            "winchfork_documents_refused", "Entries of the store that could not be decoded."
         )
         self.updates_relayed = LabelledMetric(
             CounterChild,
             "winchfork_updates_relayed",
-            "Updates of the store's entries taken from peers.",
+            "Updates of the store's entries received from peers, by outcome.",
             "outcome",
         )
         self.updates_dropped = LabelledMetric(
             CounterChild,
             "winchfork_updates_dropped",
-            "Answers of the store and updates of peers that were not taken in, by why.",
+            "Answers of the store and updates of peers that were not applied, by reason.",
             "why",
         )
         self.store_refusals = LabelledMetric(
@@ -138,10 +139,16 @@
             "status",
         )
         self.quota_used = LabelledMetric(
-            CounterChild, "winchfork_quota_used", "Units let through, by tenant.", "tenant"
+            CounterChild,
+            "winchfork_quota_used",
+            "Quota units of admitted requests, by tenant.",
+            "tenant",
         )
         self.quota_refused = LabelledMetric(
-            CounterChild, "winchfork_quota_refused", "Units refused, by tenant.", "tenant"
+            CounterChild,
+            "winchfork_quota_refused",
+            "Quota units of refused requests, by tenant.",
+            "tenant",
         )
         self.sent_by_software = LabelledMetric(
             CounterChild,
@@ -152,44 +159,44 @@
         self.sent_by_region = LabelledMetric(
             CounterChild,
             "winchfork_sent_by_region",
-            "Requests sent, by replica's region.",
+            "Requests sent to replicas, by region of the replica.",
             "region",
         )
         self.notices = LabelledMetric(
             CounterChild,
             "winchfork_notices",
-            "Replicas that said in an answer that they drain, began a backoff, or named a limit.",
+            "Notices of draining, backoffs and limits in replicas' answers, by kind.",
             "notice",
         )
         self.sent_under_limit = LabelledMetric(
             CounterChild,
             "winchfork_sent_under_limit",
-            "Requests sent to a replica that names a limit, by replica.",
+            "Requests sent to replicas with a limit, by replica.",
             "replica",
         )
         self.limit_effects = LabelledMetric(
             CounterChild,
             "winchfork_limit_effects",
-            "Requests that were placed elsewhere, waited or were refused while replicas were at "
-            "their limits.",
+            "Requests that were placed elsewhere, queued or refused while replicas were at their "
+            "limits, by effect.",
             "effect",
         )
         self.unknown_headers = LabelledMetric(
             CounterChild,
             "winchfork_unknown_notices",
-            "Answers that say something of their sender which this build does not know, by header.",
+            "Answers with a notice header that this build does not know, by header.",
             "header",
         )
-        #: Share of each service's requests that a new version of its software may get now.
+        #: Share of requests that a new software version may get now, by service.
         self.software_shares: Callable[[], Mapping[str, float]] = dict
-        #: Requests a second that each replica names as its limit.
+        #: Limit in requests a second, by replica.
         self.replica_limits: Callable[[], Mapping[str, float]] = dict
-        #: Units that each tenant may use now, read when the page is asked for.
+        #: Quota units that may be used now, by tenant.
         self.quota_left: Callable[[], Mapping[str, float]] = dict
         self._gauges: list[_Gauge] = []
 
     def add_gauge(self, name: str, description: str, read: Callable[[], float]) -> None:
-        """Show a figure that is read when the page is asked for."""
+        """Add a gauge whose value is read when the page is rendered."""
         self._gauges.append(_Gauge(f"winchfork_{name}", description, read))
 
     def render(self) -> bytes:
@@ -201,7 +208,7 @@
         return generate_latest(registry)
 
     def collect(self) -> Iterator[Metric]:
-        """Give the figures to the library, which calls this for each page."""
+        """Yield all metric families; called by ``prometheus_client`` for each page."""
         from prometheus_client.core import (
             CounterMetricFamily,
             GaugeMetricFamily,
@@ -237,35 +244,35 @@
                 )
             yield family
         yield from self._labelled_gauges()
-        for figure in self._gauges:
-            yield GaugeMetricFamily(figure.name, figure.description, value=float(figure.read()))
+        for gauge in self._gauges:
+            yield GaugeMetricFamily(gauge.name, gauge.description, value=float(gauge.read()))
 
     def _labelled_gauges(self) -> Iterator[Metric]:
-        """Give the figures that are read for each value of a label when the page is asked for."""
+        """Yield the labelled gauges, which are read when the page is rendered."""
         from prometheus_client.core import GaugeMetricFamily
 
         rows = (
             (
                 "winchfork_quota_left",
-                "Units left, as this daemon believes.",
+                "Remaining quota units as estimated by this daemon, by tenant.",
                 "tenant",
                 self.quota_left(),
             ),
             (
                 "winchfork_software_share",
-                "Share of requests that a new version of a service's software may get.",
+                "Share of requests that a new software version may get, by service.",
                 "service",
                 self.software_shares(),
             ),
             (
                 "winchfork_replica_limit",
-                "Requests a second that a replica takes from all daemons together.",
+                "Limit of requests a second from all daemons together, by replica.",
                 "replica",
                 self.replica_limits(),
             ),
         )
         for name, description, label, values in rows:
-            gauge = GaugeMetricFamily(name, description, labels=[label])
+            family = GaugeMetricFamily(name, description, labels=[label])
             for labelled, value in values.items():
-                gauge.add_metric([labelled], value)
-            yield gauge
+                family.add_metric([labelled], value)
+            yield family
--- a/winchfork/router/work_exchange.py
+++ b/winchfork/router/work_exchange.py
@@ -1,9 +1,10 @@
-"""Daemons tell each other of the work they have given replicas and of the parts kept there.
+"""Exchanges the work sent to replicas, and the prompt parts cached there, between daemons.
 
-Everything said here is advice with an age: a lost message costs efficiency, never a promise. In a
-small fleet every daemon tells every other; in a larger one the hubs add up their zone's work, tell
-it to the hubs of their region's other zones, and tell their zone the sum over all, so that a
-daemon's cost does not grow with the number of daemons. Regions exchange their sums apart.
+Delivery is best effort: a lost message may cost efficiency but breaks no guarantee. In a full mesh
+every daemon sends to every other. Otherwise hubs sum the work of their zone, send it to the hubs of
+their region's other zones, and send their zone the sum over all, so that a daemon's cost does not
+grow with the number of daemons. Regions exchange their sums through
+:mod:`winchfork.router.region_exchange`.
 """
 
 from __future__ import annotations
@@ -36,22 +37,21 @@
     sum_loads,
 )
 
-#: In a large fleet the hubs hear of new work within this time.
+#: Seconds within which hubs are sent new work.
 EARLY_SEND_DELAY_S = 0.01
-#: Work that goes on unchanged is told again after this long: expected ends move on.
+#: Seconds after which unchanged work is resent, since its expected end moves on.
 RESEND_INTERVAL_S = 0.5
-#: A hub tells its zone the work on every replica this often, and what has changed in between.
+#: Seconds between two complete messages of a hub; those in between have only what has changed.
 COMPLETE_PERIOD_S = 0.5
-#: What was heard is added up when it is read; without readers this often, so that it expires.
+#: Seconds after which received work is summed if nobody has read it, so that it expires.
 AGGREGATION_INTERVAL_S = 0.2
-#: A hub that is not the first of its zone speaks when the first has been silent for this long.
+#: Seconds without a message of a zone's active hub after which its other hub sends.
 HUB_SILENCE_S = 0.7
-#: Seconds of silence after which a zone may be out of reach in a small fleet, whose daemons say
-#: something every half second and look around five times a second.
+#: Seconds without a message after which a zone may be unreachable in a full mesh.
 DIRECT_SILENCE_S = 1.2
-#: Seconds without a word from any other zone after which this one takes itself to be cut off.
+#: Seconds without a message from any other zone after which this zone counts as isolated.
 ISOLATED_SILENCE_S = 1.2
-#: Parts told in one message by a daemon, and by a hub for its zone.
+#: Cached parts in one message of a daemon, and of a hub for its zone.
 MAX_CACHED_PARTS = 200
 MAX_ZONE_CACHED_PARTS = 1_000
 
@@ -76,59 +76,59 @@
         self._own_id = state.settings.node_id
         self._sent_loads: tuple[ReplicaLoadEntry, ...] = ()
         self._sent_at_s = 0.0
-        #: What this hub has told its zone, and when it last told everything.
+        #: What this hub has sent to its zone, and when it last sent a complete message.
         self._hub_sent_loads = SentLoads()
         self._complete_sent_at_s = 0.0
         self._sent_unreachable: tuple[str, ...] = ()
         self._activities: dict[str, ReceivedLoads] = {}
         self._zones: dict[str, ReceivedLoads] = {}
-        #: What the hubs have told of each replica.
+        #: The work on each replica as received from the hubs.
         self._fleet = LoadsByReplica()
         self._hub_received_at_s = 0.0
-        #: Whether something was heard since the work on each replica was added up, and when it was.
+        #: Whether work was received since it was last summed, and when that was.
         self._has_updates = False
         self._aggregated_at_s = 0.0
         state.fleet.refresh = self.refresh
-        #: Parts to pass on, by replica: those of this zone, and those heard from other zones.
+        #: Cached parts to forward, by replica: those of this zone, and those of other zones.
         self._zone_cached = CachedPartsBacklog()
         self._other_zones_cached = CachedPartsBacklog()
 
     def tick(self, now_s: float) -> None:
-        """Tell what is news, and add up what was heard."""
+        """Send changed work and new cached parts; sum received work if that is due."""
         view = self._peers.view
         loads = self._own_loads(now_s)
-        kept = _pop_from_backlog(self._state.cached_parts_backlog, MAX_CACHED_PARTS)
+        cached = _pop_from_backlog(self._state.cached_parts_backlog, MAX_CACHED_PARTS)
         self._send_scheduled = False
         self._quotas.tick(now_s)
         quota = self._quotas.own_report(now_s)
         correction = self._quotas.correction(now_s)
-        is_old = bool(loads) and now_s - self._sent_at_s > RESEND_INTERVAL_S
-        is_silent = view.is_full_mesh and now_s - self._sent_at_s > RESEND_INTERVAL_S
-        is_asked = bool(quota or correction or is_silent)
+        needs_resend = bool(loads) and now_s - self._sent_at_s > RESEND_INTERVAL_S
+        is_heartbeat_due = view.is_full_mesh and now_s - self._sent_at_s > RESEND_INTERVAL_S
+        must_send = bool(quota or correction or is_heartbeat_due)
         if (
-            kept
-            or is_old
-            or is_asked
+            cached
+            or needs_resend
+            or must_send
             or _comparable_work(loads) != _comparable_work(self._sent_loads)
         ):
             self._sent_loads = loads
             self._sent_at_s = now_s
             self._has_updates = True
             receivers = view.others if view.is_full_mesh else view.own_hub_peers
-            self._send(receivers, Activity(self._own_id, loads, kept, quota, correction))
+            self._send(receivers, Activity(self._own_id, loads, cached, quota, correction))
         self._update_reachability(view, now_s)
         if not view.is_full_mesh and view.is_hub:
-            _add_to_backlog(self._zone_cached, kept)
+            _add_to_backlog(self._zone_cached, cached)
             if self._is_active_hub(view, now_s):
                 self._send_as_hub(view, now_s)
                 self._regions.send_region_work(lambda: self._region_loads(now_s), now_s)
         if now_s - self._aggregated_at_s >= AGGREGATION_INTERVAL_S:
             self._aggregate(now_s)
 
-    # Telling
+    # Sending
 
     def send_soon(self) -> None:
-        """Work has changed: tell the hubs before the next tick, other changes with it."""
+        """Send changed work to the hubs before the next tick, together with other changes."""
         if not self._send_scheduled and not self._peers.view.is_full_mesh:
             self._send_scheduled = True
             self._call_later(EARLY_SEND_DELAY_S, lambda: self.tick(self._state.clock()))
@@ -147,28 +147,28 @@
         )
 
     def _update_reachability(self, view: FleetView, now_s: float) -> None:
-        """Find out which zones are out of reach: hubs for their zone, in a small fleet each."""
+        """Detect unreachable zones, on a hub or in a full mesh."""
         if view.is_full_mesh or view.is_hub:
             silence_s = DIRECT_SILENCE_S if view.is_full_mesh else SILENCE_TIMEOUT_S
-            reach = self._state.zone_reachability
+            reachability = self._state.zone_reachability
             self._state.zone_outage_handler.update_reachability(
-                reach.detect_unreachable(now_s, silence_s),
-                is_isolated=reach.detect_isolated(now_s, ISOLATED_SILENCE_S),
+                reachability.detect_unreachable(now_s, silence_s),
+                is_isolated=reachability.detect_isolated(now_s, ISOLATED_SILENCE_S),
             )
 
     def _is_active_hub(self, view: FleetView, now_s: float) -> bool:
-        """Whether this hub speaks for its zone: the first does, unless it has fallen silent."""
+        """Whether this hub sends for its zone: the first one does, unless it has fallen silent."""
         first = view.own_hubs[0].member_id == self._own_id
         return first or now_s - self._hub_received_at_s > HUB_SILENCE_S
 
     def _send_as_hub(self, view: FleetView, now_s: float) -> None:
-        """Tell other zones of this one, other regions of this one, and this zone of all."""
-        told = self._zone_loads(now_s)
-        zone_kept = _pop_from_backlog(self._zone_cached, MAX_ZONE_CACHED_PARTS)
-        far_kept = _pop_from_backlog(self._other_zones_cached, MAX_ZONE_CACHED_PARTS)
+        """Send this zone's work to other zones, and the sum over all to this zone."""
+        zone_loads = self._zone_loads(now_s)
+        zone_cached = _pop_from_backlog(self._zone_cached, MAX_ZONE_CACHED_PARTS)
+        other_cached = _pop_from_backlog(self._other_zones_cached, MAX_ZONE_CACHED_PARTS)
         complete = now_s - self._complete_sent_at_s > COMPLETE_PERIOD_S
-        heard = [*self._fresh(self._zones, now_s), *self._regions.loads(now_s)]
-        fleet = load_entries(sum_loads([ReceivedLoads(now_s, told), *heard]), now_s)
+        received = [*self._fresh(self._zones, now_s), *self._regions.loads(now_s)]
+        fleet = load_entries(sum_loads([ReceivedLoads(now_s, zone_loads), *received]), now_s)
         loads = self._hub_sent_loads.updates(fleet, complete=complete)
         quota = self._quotas.zone_report(now_s)
         levels = self._quotas.levels(now_s, complete=complete)
@@ -177,20 +177,20 @@
             self._own_id,
             complete,
             loads,
-            (*zone_kept, *far_kept),
+            (*zone_cached, *other_cached),
             levels,
             unreachable,
             self._state.zone_reachability.is_isolated(now_s),
         )
-        is_news = bool(loads or message.cached or unreachable != self._sent_unreachable)
+        has_changes = bool(loads or message.cached or unreachable != self._sent_unreachable)
         if complete:
             self._complete_sent_at_s = now_s
-        elif not is_news and quota is None:
+        elif not has_changes and quota is None:
             return
         self._sent_unreachable = unreachable
         own_zone = self._state.settings.zone
-        far_levels = levels if complete else None
-        zone_work = ZoneWork(self._own_id, own_zone, told, zone_kept, quota, far_levels)
+        zone_levels = levels if complete else None
+        zone_work = ZoneWork(self._own_id, own_zone, zone_loads, zone_cached, quota, zone_levels)
         self._send(view.same_region_hubs, zone_work)
         self._send(view.zone_peers, message)
         self._regions.record_zone(zone_work)
@@ -206,10 +206,10 @@
     def _send(self, receivers: Iterable[Member], message: Activity | ZoneWork | FleetWork) -> None:
         self._peers.send_each(receivers, message)
 
-    # Hearing
+    # Receiving
 
     def handle_activity(self, message: Activity) -> None:
-        """Take in what one daemon does."""
+        """Store the work of one daemon."""
         now_s = self._state.clock()
         self._mark_zone_reached(message.sender_id, now_s)
         self._activities[message.sender_id] = ReceivedLoads(now_s, message.loads)
@@ -220,7 +220,7 @@
         self._has_updates = True
 
     def handle_zone(self, message: ZoneWork) -> None:
-        """Take in what another zone does."""
+        """Store the work of another zone."""
         now_s = self._state.clock()
         self._zones[message.zone] = ReceivedLoads(now_s, message.loads)
         self._state.zone_reachability.record_message(message.zone, now_s)
@@ -231,7 +231,7 @@
         self._has_updates = True
 
     def handle_region(self, message: RegionWork) -> None:
-        """Take in what another region does."""
+        """Store the work of another region."""
         self._regions.handle_region(message)
         now_s = self._state.clock()
         for zone in self._peers.view.hubs:
@@ -240,14 +240,14 @@
         self._has_updates = True
 
     def _mark_zone_reached(self, sender_id: str, now_s: float) -> None:
-        """In a small fleet every daemon hears every other."""
+        """Record a message from the sender's zone, in a full mesh."""
         if self._peers.view.is_full_mesh:
             for member in self._peers.view.members:
                 if member.member_id == sender_id:
                     self._state.zone_reachability.record_message(member.zone, now_s)
 
     def handle_fleet(self, message: FleetWork) -> None:
-        """Take in what all daemons do; what the speaking hub has told, another need not."""
+        """Store the work of all daemons; drop cached parts that the active hub has announced."""
         now_s = self._state.clock()
         self._hub_received_at_s = now_s
         self._fleet.update(message.loads, now_s, complete=message.complete)
@@ -259,14 +259,14 @@
                 message.unreachable_zones, is_isolated=message.is_isolated
             )
         if self._peers.view.is_hub:
-            for told in message.cached:
-                self._zone_cached.discard(told.replica_hash, told.parts)
-                self._other_zones_cached.discard(told.replica_hash, told.parts)
+            for entry in message.cached:
+                self._zone_cached.discard(entry.replica_hash, entry.parts)
+                self._other_zones_cached.discard(entry.replica_hash, entry.parts)
         self._has_updates = True
 
     def _record_cached(self, entries: Iterable[CachedPartsEntry]) -> None:
-        for note in entries:
-            self._state.record_peer_cached_parts(note.replica_hash, note.parts)
+        for entry in entries:
+            self._state.record_peer_cached_parts(entry.replica_hash, entry.parts)
 
     def _fresh(self, received: dict[str, ReceivedLoads], now_s: float) -> list[ReceivedLoads]:
         for sender in [key for key, item in received.items() if item.is_expired(now_s)]:
@@ -274,44 +274,44 @@
         return list(received.values())
 
     def refresh(self) -> None:
-        """Add up what was heard since the last time: a reader is about to look at the replicas."""
+        """Sum the work received since the last time, before the replicas are read."""
         if self._has_updates:
             self._aggregate(self._state.clock())
 
     def _aggregate(self, now_s: float) -> None:
-        """Set what peers have given each replica: everything heard, less this daemon's own."""
+        """Set the peers' work on each replica: all work received, less this daemon's own."""
         self._has_updates = False
         self._aggregated_at_s = now_s
         view = self._peers.view
         own: dict[int, ReplicaLoadEntry] = {}
         if view.is_full_mesh or view.is_hub:
-            heard = self._fresh(self._activities, now_s)
+            received = self._fresh(self._activities, now_s)
             if not view.is_full_mesh:
-                heard += [*self._fresh(self._zones, now_s), *self._regions.loads(now_s)]
+                received += [*self._fresh(self._zones, now_s), *self._regions.loads(now_s)]
         else:
-            heard = self._fleet.fresh(now_s)
-            own = {note.replica_hash: note for note in self._sent_loads} if heard else {}
-        totals = sum_loads(heard)
+            received = self._fleet.fresh(now_s)
+            own = {entry.replica_hash: entry for entry in self._sent_loads} if received else {}
+        totals = sum_loads(received)
         for replica in self._state.fleet.replicas():
             work = totals.get(replica.order_hash, NO_WORK)
-            told = own.get(replica.order_hash)
-            in_flight = work.in_flight - (told.in_flight if told else 0)
-            unread = work.pending_prefill_tokens - (told.pending_prefill_tokens if told else 0)
-            memory = work.memory_tokens - (told.memory_tokens if told else 0)
+            sent = own.get(replica.order_hash)
+            in_flight = work.in_flight - (sent.in_flight if sent else 0)
+            prefill = work.pending_prefill_tokens - (sent.pending_prefill_tokens if sent else 0)
+            memory = work.memory_tokens - (sent.memory_tokens if sent else 0)
             replica.peer_in_flight = max(0, in_flight)
-            replica.peer_pending_prefill_tokens = max(0, unread)
+            replica.peer_pending_prefill_tokens = max(0, prefill)
             replica.peer_memory_tokens = max(0, memory)
             replica.peer_busy_until_s = work.busy_until_s
 
 
 def _comparable_work(loads: tuple[ReplicaLoadEntry, ...]) -> list[tuple[int, int, int]]:
-    """Return what makes loads news: not the expected ends, which move on by themselves."""
-    return [(note.replica_hash, note.in_flight, note.pending_prefill_tokens) for note in loads]
+    """Return what is compared to detect changed loads; expected ends move on by themselves."""
+    return [(entry.replica_hash, entry.in_flight, entry.pending_prefill_tokens) for entry in loads]
 
 
 def _add_to_backlog(backlog: CachedPartsBacklog, entries: Iterable[CachedPartsEntry]) -> None:
-    for note in entries:
-        backlog.add(note.replica_hash, note.parts)
+    for entry in entries:
+        backlog.add(entry.replica_hash, entry.parts)
 
 
 def _pop_from_backlog(backlog: CachedPartsBacklog, max_parts: int) -> tuple[CachedPartsEntry, ...]:
--- a/winchfork/router/work_totals.py
+++ b/winchfork/router/work_totals.py
@@ -1,4 +1,4 @@
-"""Work on replicas as daemons tell it, added up over daemons, zones and regions."""
+"""Work on replicas as daemons report it, summed over daemons, zones and regions."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 from winchfork.router.peer_messages import ReplicaLoadEntry
 
-#: Seconds for which a message about work counts.
+#: Seconds after which received loads expire.
 LOADS_VALID_S = 1.5
-#: Expected ends are rounded to this many milliseconds, so that they fit in a byte or two.
+#: Unit of expected ends on the wire, in milliseconds: keeps them within a byte or two.
 BUSY_STEP_MS = 50
 
 
 class ReceivedLoads(msgspec.Struct, frozen=True):
-    """The newest loads told by one sender, and when."""
+    """The newest loads received from one sender, and when."""
 
     received_at_s: float
     loads: tuple[ReplicaLoadEntry, ...]
 
     def is_expired(self, now_s: float) -> bool:
-        """Whether it no longer counts."""
+        """Whether the loads are too old to count."""
         return now_s - self.received_at_s > LOADS_VALID_S
 
 
 class ReplicaWork(msgspec.Struct):
-    """Work on one replica, added up."""
+    """The sum of work on one replica."""
 
     in_flight: int = 0
     pending_prefill_tokens: int = 0
@@ -34,7 +34,7 @@
     busy_until_s: float = 0.0
 
     def add(self, entry: ReplicaLoadEntry, received_at_s: float) -> None:
-        """Add what was heard at a moment."""
+        """Add an entry that was received at ``received_at_s``."""
         self.in_flight += entry.in_flight
         self.pending_prefill_tokens += entry.pending_prefill_tokens
         self.memory_tokens += entry.memory_tokens
@@ -46,21 +46,21 @@
 
 
 def busy_steps(busy_until_s: float, now_s: float) -> int:
-    """Return when work is expected to end, from now, as it is told."""
+    """Return the time until work is expected to end, in steps of ``BUSY_STEP_MS``."""
     return int(max(0.0, busy_until_s - now_s) * 1000) // BUSY_STEP_MS
 
 
 def sum_loads(received: Iterable[ReceivedLoads]) -> dict[int, ReplicaWork]:
-    """Return the work on each replica, by the hash of its id."""
+    """Return the sum of work on each replica, by the hash of its id."""
     totals: dict[int, ReplicaWork] = {}
     for item in received:
-        for note in item.loads:
-            totals.setdefault(note.replica_hash, ReplicaWork()).add(note, item.received_at_s)
+        for entry in item.loads:
+            totals.setdefault(entry.replica_hash, ReplicaWork()).add(entry, item.received_at_s)
     return totals
 
 
 def load_entries(totals: dict[int, ReplicaWork], now_s: float) -> tuple[ReplicaLoadEntry, ...]:
-    """Return totals as they are told."""
+    """Return totals as message entries."""
     return tuple(
         ReplicaLoadEntry(
             replica_hash,
@@ -74,7 +74,7 @@
 
 
 def is_same_work(entry: ReplicaLoadEntry, other: ReplicaLoadEntry) -> bool:
-    """Whether two notes tell the same work: expected ends, which move on, are no news."""
+    """Whether two entries have the same work; expected ends, which move on, are not compared."""
     return (entry.replica_hash, entry.in_flight, entry.pending_prefill_tokens) == (
         other.replica_hash,
         other.in_flight,
@@ -83,7 +83,7 @@
 
 
 class SentLoads:
-    """What receivers of a series of messages have been told, by replica."""
+    """The loads last sent in a series of messages, by replica."""
 
     def __init__(self) -> None:
         self._sent: dict[int, ReplicaLoadEntry] = {}
@@ -91,34 +91,39 @@
     def updates(
         self, loads: tuple[ReplicaLoadEntry, ...], *, complete: bool
     ) -> tuple[ReplicaLoadEntry, ...]:
-        """Return what is to be told now, all or what has changed, and remember it as told."""
-        told, self._sent = self._sent, {note.replica_hash: note for note in loads}
+        """Return the loads to send, all or only those that have changed, and record them as sent.
+
+        A replica without work is sent once with zeros.
+        """
+        before, self._sent = self._sent, {entry.replica_hash: entry for entry in loads}
         if complete:
             return loads
         changed = [
-            note
-            for note in loads
-            if note.replica_hash not in told or not is_same_work(note, told[note.replica_hash])
+            entry
+            for entry in loads
+            if entry.replica_hash not in before
+            or not is_same_work(entry, before[entry.replica_hash])
         ]
         ended = [
-            ReplicaLoadEntry(replica_hash, 0, 0, 0, 0) for replica_hash in told.keys() - self._sent
+            ReplicaLoadEntry(replica_hash, 0, 0, 0, 0)
+            for replica_hash in before.keys() - self._sent
         ]
         return (*changed, *ended)
 
 
 class LoadsByReplica:
-    """The newest note on each replica from a series of messages of which not all are complete."""
+    """The newest entry of each replica, from complete and incremental messages."""
 
     def __init__(self) -> None:
         self._received: dict[int, ReceivedLoads] = {}
 
     def update(self, loads: tuple[ReplicaLoadEntry, ...], now_s: float, *, complete: bool) -> None:
-        """Take one message in."""
+        """Apply the loads of one message; a complete one replaces all earlier ones."""
         if complete:
             self._received.clear()
-        for note in loads:
-            self._received[note.replica_hash] = ReceivedLoads(now_s, (note,))
+        for entry in loads:
+            self._received[entry.replica_hash] = ReceivedLoads(now_s, (entry,))
 
     def fresh(self, now_s: float) -> list[ReceivedLoads]:
-        """Return what still counts."""
+        """Return the loads that have not expired."""
         return [item for item in self._received.values() if not item.is_expired(now_s)]
--- a/winchfork/router/zone_outage_handler.py
+++ b/winchfork/router/zone_outage_handler.py
@@ -1,4 +1,4 @@
-"""What a router process does when zones cannot be reached, and when it cannot reach any."""
+"""Handles unreachable zones, and the isolation of this process's own zone."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 if TYPE_CHECKING:
     from winchfork.router.state import RouterState
 
-#: A zone that hears no other asks for no more callers when its proof is this old: well above what a
-#: slow store brings about.
+#: Age in seconds of an isolated zone's proof of freshness from which on it reports not ready; well
+#: above the age that a slow store causes.
 ISOLATED_AGE_S = 1.5
 
 
 class ZoneOutageHandler:
-    """Acts on what :class:`winchfork.core.zone_reachability.ZoneReach` finds."""
+    """Acts on changes in :class:`winchfork.core.zone_reachability.ZoneReachability`."""
 
     def __init__(self, state: RouterState) -> None:
         self._state = state
 
     @property
     def can_keep_serving(self) -> bool:
-        """Whether keys can be checked, and will be when callers that are sent here now arrive.
+        """Whether API keys can be checked now, and will still be when new callers arrive.
 
-        A zone that is cut off from all others and from the store cannot check keys for much longer.
-        Its daemons know that at the same time and ask for no more callers while they still serve:
-        the entry needs some seconds to send callers elsewhere. When only the store is away, there
-        is no elsewhere.
+        A zone that is cut off from all others and from the store loses its proof of freshness soon.
+        Its daemons therefore report not ready while they still serve, since the load balancer needs
+        some seconds to move callers to other zones. When only the store is unreachable, all zones
+        are affected alike, so they go on serving.
         """
         if not self._state.api_keys_fresh:
             return False
@@ -37,7 +37,7 @@
         return not (expiring and self._state.zone_reachability.is_isolated(now_s))
 
     def update_reachability(self, zones: Iterable[str], *, is_isolated: bool) -> None:
-        """Take in which zones cannot be reached; those that can be again start afresh."""
+        """Adopt the unreachable zones; clear the ejections in zones that are reachable again."""
         now_s = self._state.clock()
         before = self._state.zone_reachability.unreachable(now_s)
         lost = self._state.zone_reachability.adopt(zones, now_s, is_isolated=is_isolated)
@@ -49,7 +49,7 @@
             self._clear_ejections(zone, now_s)
 
     def _clear_ejections(self, zone: str, now_s: float) -> None:
-        """Use the replicas of a zone that is back at once: they failed because of the cut."""
+        """End the ejections of a zone's replicas, which failed because of the network partition."""
         for replica in self._state.fleet.replicas():
             if replica.listing.zone == zone and replica.ejected_until_s > now_s:
                 replica.ejected_until_s = now_s
