--- a/tests/peer_samples.py
+++ b/tests/peer_samples.py
@@ -1,8 +1,7 @@
-"""One message of each type that daemons send each other, and one record of each in the store.
+"""Samples of each peer message type and of each kind of record in the store.
 
-`tests/earlier_build.json` holds these as the build before has written them. The file is made by
-``python -m tests.peer_samples > tests/earlier_build.json`` on that build; builds that run beside
-each other read what the others write.
+``tests/earlier_build.json`` holds them as encoded by the previous build; it is created on that
+build by ``python -m tests.peer_samples > tests/earlier_build.json``.
 """
 
 from __future__ import annotations
@@ -55,7 +54,7 @@
 _DIGEST = bytes(range(16))
 _MEMBER = Member("n1", "z1", "10.0.0.1:7", "10.0.0.1:8", 5, MemberStatus.SUSPECT, 1000, 4)
 _LOADS = (ReplicaLoadEntry(2**63 + 1, 3, 400, 500, 6),)
-_KEPT = (CachedPartsEntry(9, (1, 2**64 - 1)),)
+_CACHED = (CachedPartsEntry(9, (1, 2**64 - 1)),)
 _QUOTA = QuotaReport(77, (QuotaTotals(1, 2, 3, 4),))
 _LEVELS = QuotaLevels(80, True, False, (QuotaLevel(1, 2),))
 UPDATE = TableUpdate(
@@ -72,12 +71,12 @@
     Probe(_MEMBER, 1, (2, 3), (_MEMBER,), "n2", b"loads", 6),
     ProbeReply(_MEMBER, 1, (2, 3), (_MEMBER,), b"loads"),
     IndirectProbe(_MEMBER, 1, "n3", (_MEMBER,)),
-    Activity("n1", _LOADS, _KEPT, _QUOTA, _LEVELS),
+    Activity("n1", _LOADS, _CACHED, _QUOTA, _LEVELS),
     WeightsProgress("n1", 41, (WeightsEntry("i-1", 2**63 + 2, "m", 3, 1500, 1000),)),
     VersionAges((VersionAgeEntry("m", 3, 2500),)),
     Resignation(41, 1200, 90_000),
-    ZoneWork("n1", "z1", _LOADS, _KEPT, _QUOTA, _LEVELS),
-    FleetWork("n1", True, _LOADS, _KEPT, _LEVELS, ("z2",), True),
+    ZoneWork("n1", "z1", _LOADS, _CACHED, _QUOTA, _LEVELS),
+    FleetWork("n1", True, _LOADS, _CACHED, _LEVELS, ("z2",), True),
     Forward(b"datagram", True),
     DocumentPull("n1", "10.0.0.1:7", 5),
     split_update("n1", UPDATE)[0],
@@ -101,14 +100,14 @@
 
 
 def encoded_messages() -> dict[str, str]:
-    """Return each message as this build writes it, in hexadecimal, by the name of its type."""
+    """Return each message as encoded by this build, in hexadecimal, by the name of its type."""
     codec = PeerCodec(KEY, PEER_MESSAGE_TYPES)
     datagrams = {type(message).__name__: codec.encode(message) for message in MESSAGES}
     return {name: data.hex() for name, data in datagrams.items() if isinstance(data, bytes)}
 
 
 def encoded_records() -> dict[str, str]:
-    """Return each record as this build writes it."""
+    """Return each record as encoded by this build."""
     return {
         "software": encode_record(RECORD).decode(),
         "refusal": msgspec.json.encode(REFUSAL).decode(),
--- a/tests/peer_support.py
+++ b/tests/peer_support.py
@@ -1,4 +1,4 @@
-"""Router processes' peer sides on a virtual network, before one store in memory."""
+"""Daemons without callers, on a simulated network and with an in-memory store."""
 
 from __future__ import annotations
 
@@ -34,9 +34,10 @@
 
 
 class StoreAccess:
-    """One daemon's way to the store; ``cut`` makes it fail for this daemon alone.
+    """One daemon's access to the store.
 
-    While ``reading`` is cleared nobody looks at the answers, which come all the same.
+    ``cut`` makes its calls fail. While ``reading`` is cleared, the store's answers arrive but are
+    not handled, as during a stall of the process.
     """
 
     def __init__(self, store: MemoryStore) -> None:
@@ -90,13 +91,13 @@
 
 
 class Network:
-    """Delivers datagrams between groups after a delay; ``drop`` loses them."""
+    """Delivers datagrams between groups after a delay, unless ``drop`` returns True."""
 
     def __init__(self) -> None:
         self.groups: dict[str, PeerGroup] = {}
         self.delay_s = 0.002
         self.drop: Callable[[str, str], bool] = lambda sender, receiver: False
-        #: Told of each datagram that is sent: the sender's and the receiver's IP, and its bytes.
+        #: Called with the sender's IP, the receiver's IP and the bytes of each datagram.
         self.on_sent: Callable[[str, str, bytes], None] = lambda sender, receiver, data: None
 
     def transport(self, sender: str) -> Any:
@@ -174,14 +175,14 @@
         return asyncio.create_task(writer.run())
 
     async def stall(self, seconds: float, network: Network) -> None:
-        """Do nothing for a while: answers wait to be read, datagrams are lost."""
+        """Simulate a stall: answers of the store wait to be read, datagrams are lost."""
         self.tasks.remove(self._gossip)
         self._gossip.cancel()
         self.store.reading.clear()
         network.drop = lambda sender, receiver: self.ip in (sender, receiver)
         await asyncio.sleep(seconds)
         network.drop = lambda sender, receiver: False
-        # Timers that ended meanwhile are seen before the answers that came.
+        # On resumption, expired timers run before the answers are read.
         self.state.stall_detector.tick(self.state.clock())
         await asyncio.sleep(0.005)
         self.store.reading.set()
@@ -192,7 +193,7 @@
         self.tasks.append(self._gossip)
 
     def kill(self, network: Network) -> None:
-        """End without a word."""
+        """Stop without announcing it."""
         del network.groups[self.ip]
         for task in self.tasks:
             task.cancel()
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,11 +1,7 @@
-"""Requests that end each replica that runs them.
+"""Requests that crash every replica that runs them, end to end.
 
-One caller sent the same request again and again, each time under a new id and at another router,
-and every replica that began to run it ended some 100 ms later, with all that ran there. Nothing
-remembered a request beyond one try: ten replicas ended in 16 s, six of them after the third and
-more than three seconds later, and 28 streams of others broke with them. Each of the ten was logged
-as `outcome=outcome_unknown reason="connection closed" sends=1`, under ten ids and from six routers,
-all of one prompt family and of one length (508 tokens unread).
+Guards against a caller that repeats such a request, under new ids and at several routers, and
+crashes one replica after another.
 """
 
 from __future__ import annotations
@@ -17,12 +13,12 @@
 from standins.replica_server import FatalRequest
 from tests.relay_support import ReceivedAnswer, read_answer
 
-_PATIENCE_S = 25.0
+_MAX_WAIT_S = 25.0
 FATAL_BODY = b"fatal"
-#: Replicas that may end under one request before it is refused.
-MOST_ENDS = 3
-#: Runs that may be under way elsewhere, or sent before all routers know.
-MOST_LATER_RUNS = 3
+#: Replicas that may crash under one request before it is refused.
+MAX_CRASHES = 3
+#: Further runs that may be under way by then, or begin before all routers have been informed.
+MAX_LATER_RUNS = 3
 
 
 def _stream_request(request_id: str, body: bytes) -> bytes:
@@ -42,7 +38,7 @@
         self.addAsyncCleanup(deployment.stop)
         for replica in deployment.model_replicas:
             replica.fatal_request = FatalRequest(FATAL_BODY, keeps_id=keeps_id)
-        await asyncio.wait_for(deployment.wait_until_ready(), _PATIENCE_S)
+        await asyncio.wait_for(deployment.wait_until_ready(), _MAX_WAIT_S)
         return deployment
 
     async def _ask(
@@ -53,7 +49,7 @@
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(_stream_request(request_id, body))
         try:
-            return await asyncio.wait_for(read_answer(reader), _PATIENCE_S)
+            return await asyncio.wait_for(read_answer(reader), _MAX_WAIT_S)
         except (asyncio.IncompleteReadError, ConnectionError):
             return ReceivedAnswer(0, {}, b"", False)
         finally:
@@ -64,23 +60,23 @@
             await self._ask(deployment, number % 3, f"fatal-{number}", FATAL_BODY)
             await asyncio.sleep(0.25)
 
-    async def _ends_are_few(self, *, keeps_id: bool) -> None:
+    async def _check_crashes_are_bounded(self, *, keeps_id: bool) -> None:
         deployment = await self._deploy(keeps_id=keeps_id)
         await self._repeat(deployment, 20)
         runs = sum(len(replica.fatal_runs) for replica in deployment.model_replicas)
         self.assertGreaterEqual(runs, 1)
-        self.assertLessEqual(runs, MOST_ENDS + MOST_LATER_RUNS)
+        self.assertLessEqual(runs, MAX_CRASHES + MAX_LATER_RUNS)
         answer = await self._ask(deployment, 0, "innocent", b"other")
         self.assertTrue(answer.whole)
         self.assertEqual(answer.status, 200)
 
-    async def test_a_request_that_ends_replicas_is_kept_from_them(self) -> None:
-        """Replicas come back under a new id, or under the one that they had."""
+    async def test_a_request_that_crashes_replicas_is_refused(self) -> None:
+        """Replicas restart under a new id, or under their previous one."""
         for keeps_id in (False, True):
             with self.subTest(keeps_id=keeps_id):
-                await self._ends_are_few(keeps_id=keeps_id)
+                await self._check_crashes_are_bounded(keeps_id=keeps_id)
 
-    async def test_it_is_kept_from_them_also_after_a_restart_of_every_router(self) -> None:
+    async def test_it_is_still_refused_after_a_restart_of_every_router(self) -> None:
         deployment = await self._deploy(keeps_id=False)
         await self._repeat(deployment, 12)
         await deployment.restart_routers()
