--- a/tests/test_earlier_build.py
+++ b/tests/test_earlier_build.py
@@ -1,7 +1,6 @@
-"""Builds that run beside each other: what the build before writes is read, and the other way round.
+"""Wire and store compatibility with the previous build, which runs beside this one in an upgrade.
 
-The files hold what the last landing wrote. A message that it cannot read would leave it without
-work, rollouts and documents for as long as machines are replaced one after the other.
+``earlier_build.json`` holds the messages and records as encoded by the previous build.
 """
 
 from __future__ import annotations
@@ -35,19 +34,19 @@
 )
 
 
-class Later(PeerMessage, frozen=True):
-    """A type that a later build adds."""
+class LaterMessage(PeerMessage, frozen=True):
+    """A message type that a later build adds."""
 
     number: int
 
 
-def with_more_fields(value: Any) -> Any:
-    """Return what a later build may write: one more field in a message and in each part of it."""
+def with_added_fields(value: Any) -> Any:
+    """Return a value as a later build may encode it, with a field added to each message in it."""
     if isinstance(value, PeerMessage):
-        fields = [with_more_fields(getattr(value, name)) for name in value.__struct_fields__]
+        fields = [with_added_fields(getattr(value, name)) for name in value.__struct_fields__]
         return [*fields, "added"]
     if isinstance(value, tuple):
-        return [with_more_fields(item) for item in value]
+        return [with_added_fields(item) for item in value]
     return value
 
 
@@ -55,42 +54,42 @@
     def setUp(self) -> None:
         self.codec = PeerCodec(KEY, PEER_MESSAGE_TYPES)
 
-    def test_a_sample_of_each_type_is_there(self) -> None:
+    def test_there_is_a_sample_of_each_message_type(self) -> None:
         self.assertEqual({type(message) for message in MESSAGES}, set(PEER_MESSAGE_TYPES))
 
-    def test_its_messages_are_read(self) -> None:
+    def test_earlier_messages_are_decoded(self) -> None:
         for message in MESSAGES:
             earlier = EARLIER["messages"].get(type(message).__name__)
             if earlier is not None:
                 self.assertEqual(self.codec.decode(bytes.fromhex(earlier)), message)
 
-    def test_it_reads_this_builds_messages(self) -> None:
-        """The bytes are the same; a type that it does not know may be left unread."""
+    def test_messages_are_encoded_as_by_the_earlier_build(self) -> None:
+        """Message types that the earlier build does not know are not compared."""
         written = encoded_messages()
         self.assertEqual({name: written[name] for name in EARLIER["messages"]}, EARLIER["messages"])
 
-    def test_its_update_of_entries_is_put_together(self) -> None:
+    def test_an_earlier_update_of_entries_is_assembled(self) -> None:
         part = self.codec.decode(bytes.fromhex(EARLIER["messages"]["DocumentPart"]))
         assert isinstance(part, DocumentPart)
         self.assertEqual(UpdateAssembler().add(part), UPDATE)
 
-    def test_records_in_the_store_are_read_both_ways(self) -> None:
+    def test_records_in_the_store_are_compatible_both_ways(self) -> None:
         self.assertEqual(decode_record(EARLIER["records"]["software"].encode()), RECORD)
         self.assertEqual(decode_refusal(EARLIER["records"]["refusal"].encode()), REFUSAL)
         self.assertEqual(encoded_records(), EARLIER["records"])
 
-    def test_a_later_builds_fields_are_passed_over(self) -> None:
+    def test_unknown_fields_of_a_later_build_are_ignored(self) -> None:
         for message in MESSAGES:
             with self.subTest(type(message).__name__):
-                body = msgspec.msgpack.encode(with_more_fields(message))
+                body = msgspec.msgpack.encode(with_added_fields(message))
                 decoded = msgspec.msgpack.decode(body, type=type(message))
                 self.assertEqual(decoded, message)
         record = EARLIER["records"]["software"].replace("{", '{"added":[1],', 1)
         self.assertEqual(decode_record(record.encode()), RECORD)
 
-    def test_a_later_builds_type_is_refused_alone(self) -> None:
-        later = PeerCodec(KEY, (*PEER_MESSAGE_TYPES, Later))
-        datagram = later.encode(Later(1))
+    def test_an_unknown_message_type_of_a_later_build_is_refused(self) -> None:
+        later = PeerCodec(KEY, (*PEER_MESSAGE_TYPES, LaterMessage))
+        datagram = later.encode(LaterMessage(1))
         assert isinstance(datagram, bytes)
         refused = self.codec.decode(datagram)
         assert isinstance(refused, Failure)
--- a/tests/test_late_word.py
+++ b/tests/test_late_word.py
@@ -1,4 +1,4 @@
-"""Words of peers that waited in a socket while this process stood still. Virtual time."""
+"""Peer messages and updates that are handled late, after a stall or a partition. Virtual time."""
 
 from __future__ import annotations
 
@@ -17,15 +17,13 @@
 from winchfork.router.weights_exchange import WeightsExchange
 
 
-class LateWordTest(unittest.TestCase):
-    """A peer's word on when a version was named, read only after an own standstill.
+class LateVersionAgesTest(unittest.TestCase):
+    """Version ages from a peer that are read only after a stall of this process.
 
-    A process stood still for 2.7 s while a version was named and a peer told it so. It read that on
-    waking, dated it by its own time, 1.7 s too late, and told another that had just started: three
-    requests began 4.18 s after the naming with a bound of 4 s ("weights_left_s=1.63441").
+    Guards against dating a version by the time of reading, which is too late.
     """
 
-    def test_it_is_dated_by_when_it_may_have_come(self) -> None:
+    def test_after_a_stall_versions_are_dated_by_the_earliest_arrival(self) -> None:
         for ticked in (False, True):
             with self.subTest(ticked_before_it_is_read=ticked):
                 relay = run_virtually(self._read_late(ticked))
@@ -39,48 +37,48 @@
         stall_loop(2.7)
         if ticked:
             state.stall_detector.tick(state.clock())
-        news = WeightsExchange(state, cast(PeerMessenger, None))
-        news.handle_version_ages(VersionAges((VersionAgeEntry("m", 4, 10),)))
+        exchange = WeightsExchange(state, cast(PeerMessenger, None))
+        exchange.handle_version_ages(VersionAges((VersionAgeEntry("m", 4, 10),)))
         return relay
 
-    def test_without_a_standstill_it_is_dated_by_its_age(self) -> None:
+    def test_without_a_stall_versions_are_dated_by_their_age(self) -> None:
         async def scenario() -> float:
             relay = RelayUnderTest()
             state = relay.state
             for _ in range(10):
                 state.stall_detector.tick(state.clock())
                 await asyncio.sleep(0.2)
-            news = WeightsExchange(state, cast(PeerMessenger, None))
-            news.handle_version_ages(VersionAges((VersionAgeEntry("m", 4, 500),)))
+            exchange = WeightsExchange(state, cast(PeerMessenger, None))
+            exchange.handle_version_ages(VersionAges((VersionAgeEntry("m", 4, 500),)))
             return state.clock() - state.weights_versions["m"].versions[0].received_at_s
 
         self.assertAlmostEqual(run_virtually(scenario()), 0.5)
 
 
 class LateUpdateTest(unittest.TestCase):
-    def test_what_a_watcher_has_from_a_peer_is_dated_by_its_own_last_proof(self) -> None:
-        """Two routers of three were cut from the store for 1.4 s, in which a version was named.
+    def test_a_relayed_version_is_dated_by_the_watchers_own_last_proof(self) -> None:
+        """Guards against dating a version that a peer relays by the time of the relay.
 
-        One of them had it from the third, with a proof 1.9 s old, dated it by that moment as heard
-        in time, and its word replaced the other's cautious guess: six requests began 4.35 s after
-        the naming with a bound of 4 s ("weights_left_s=1.29361").
+        The watcher was cut off from the store, so the version may be as old as its last proof.
         """
 
         async def main() -> None:
             fleet = FollowingFleet()
             await asyncio.sleep(4.0)
-            deaf = fleet.daemons[0]
-            fleet.cut_off(deaf)
-            while deaf.age_s() < 1.9:
+            isolated = fleet.daemons[0]
+            fleet.cut_off(isolated)
+            while isolated.age_s() < 1.9:
                 await asyncio.sleep(0.01)
-            proven_s = deaf.state.freshness.proven_at_s
-            known = deaf.state.store_position
+            proven_s = isolated.state.freshness.proven_at_s
+            known = isolated.state.store_position
             later = StorePosition(known.era, known.revision + 1)
             document = json.dumps({"Model": MODEL, "Version": 2}).encode()
             named = TableItem(f"op/version/{MODEL}", later.revision, document)
-            deaf.sync.install_update(TableUpdate(known, later, False, False, (named,)))
+            isolated.sync.install_update(TableUpdate(known, later, False, False, (named,)))
             (newest,) = (
-                item for item in deaf.state.weights_versions[MODEL].versions if item.version == 2
+                item
+                for item in isolated.state.weights_versions[MODEL].versions
+                if item.version == 2
             )
             self.assertLessEqual(newest.received_at_s, proven_s)
             self.assertTrue(newest.assumed)
--- a/tests/test_limits_whole.py
+++ b/tests/test_limits_whole.py
@@ -1,15 +1,6 @@
-"""Whole routers before replicas that name how many requests a second they take from all together.
+"""Request limits that replicas announce in their answers, end to end.
 
-Two replicas, one in need of 2.5 requests a second and one of 1.3, named that in their answers from
-second 8 on. They got 13 and 5 a second before, and 13 and 5 a second after, from every router: 45
-and 20 in four seconds, where 20 and 13 were allowed. Every one was a first attempt
-(`request_sent ... attempt=1`), and one router alone sent 29 of the 45. No line said anything of the
-limit, since nobody read the header.
-
-A limit is for all machines together. So a few daemons share it, in an order that all agree on, and
-the others send elsewhere; who has an answer with a limit tells the rest, and who has the first
-without one tells them too. On these stand-ins two replicas that name 2 a second got 38 and 34
-requests in 4 s before, where 17 are allowed.
+Guards against routers that together send a replica more requests than it announced.
 """
 
 from __future__ import annotations
@@ -19,22 +10,22 @@
 
 
 class LimitsWholeTest(LoopbackTestCase):
-    async def _name(self, replicas: int, per_s: float) -> None:
-        """Let the busiest replicas name a limit, and send for long enough to judge."""
+    async def _check_with_limits(self, replicas: int, per_s: float) -> None:
+        """Let the busiest replicas announce a limit, and check the windows after it."""
         await self.send_for(1.0)
-        struck = self.models_by_requests()[:replicas]
-        for replica in struck:
+        limited = self.models_by_requests()[:replicas]
+        for replica in limited:
             replica.notices.set_limit(per_s)
         await self.send_for(LIMIT_PROPAGATION_S + WINDOW_S + 1.0)
-        spoken = [(replica.replica_id, replica.notices) for replica in struck]
-        for _, notices in spoken:
+        announced = [(replica.replica_id, replica.notices) for replica in limited]
+        for _, notices in announced:
             self.assertIsNotNone(worst_window(notices, self.senders))
-        self.assertEqual(check_limits(spoken, self.senders), [])
+        self.assertEqual(check_limits(announced, self.senders), [])
 
-    async def test_two_replicas_get_no_more_than_they_named_and_callers_lose_nothing(self) -> None:
-        await self._name(2, per_s=2.0)
+    async def test_two_replicas_get_no_more_than_their_limits_and_no_request_fails(self) -> None:
+        await self._check_with_limits(2, per_s=2.0)
         self.assertEqual(set(self.statuses), {200})
 
-    async def test_one_that_takes_nothing_is_asked_now_and_then(self) -> None:
-        await self._name(1, per_s=0.0)
+    async def test_a_limit_of_zero_is_respected_and_no_request_fails(self) -> None:
+        await self._check_with_limits(1, per_s=0.0)
         self.assertEqual(set(self.statuses), {200})
--- a/tests/test_lossy_router.py
+++ b/tests/test_lossy_router.py
@@ -1,4 +1,4 @@
-"""Machines of a soak that lose each other's datagrams."""
+"""Simulated network partitions between the machines of a soak."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from winchfork.emulator.free_ports import free_port
 
 
-class Heard(asyncio.DatagramProtocol):
-    """Notes what it hears, and keeps its transport."""
+class DatagramRecorder(asyncio.DatagramProtocol):
+    """Records the datagrams that it receives."""
 
     def __init__(self) -> None:
-        self.heard: list[bytes] = []
+        self.received: list[bytes] = []
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:  # type: ignore[override]
         self.transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self.heard.append(data)
+        self.received.append(data)
 
 
 class LossTest(unittest.IsolatedAsyncioTestCase):
@@ -31,8 +31,8 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         file = Path(folder.name) / "cut-machines"
-        self.cut = NetworkPartition(file)
-        self.machines = [Heard() for _ in range(3)]
+        self.partition = NetworkPartition(file)
+        self.machines = [DatagramRecorder() for _ in range(3)]
         self.addresses = [(f"127.0.0.{number}", 0) for number in (1, 2, 3)]
         loop = asyncio.get_running_loop()
         for number, machine in enumerate(self.machines):
@@ -44,21 +44,21 @@
             )
             self.addCleanup(transport.close)
 
-    async def heard_of_each(self) -> list[set[bytes]]:
-        """Have each machine send its number to each; return what each has heard."""
+    async def exchange_datagrams(self) -> list[set[bytes]]:
+        """Send each machine's number to every machine; return what each has received."""
         for machine in self.machines:
-            machine.heard.clear()
+            machine.received.clear()
         for number, machine in enumerate(self.machines):
             assert machine.transport is not None
             for address in self.addresses:
                 machine.transport.sendto(b"%d" % number, address)
         await asyncio.sleep(0.1)
-        return [set(machine.heard) for machine in self.machines]
+        return [set(machine.received) for machine in self.machines]
 
-    async def test_a_cut_separates_machines_both_ways_until_it_is_healed(self) -> None:
+    async def test_a_partition_drops_datagrams_both_ways_until_it_heals(self) -> None:
         everything = [{b"0", b"1", b"2"}] * 3
-        self.assertEqual(await self.heard_of_each(), everything)
-        self.cut.write({"127.0.0.2"})
-        self.assertEqual(await self.heard_of_each(), [{b"0", b"2"}, {b"1"}, {b"0", b"2"}])
-        self.cut.write(set())
-        self.assertEqual(await self.heard_of_each(), everything)
+        self.assertEqual(await self.exchange_datagrams(), everything)
+        self.partition.write({"127.0.0.2"})
+        self.assertEqual(await self.exchange_datagrams(), [{b"0", b"2"}, {b"1"}, {b"0", b"2"}])
+        self.partition.write(set())
+        self.assertEqual(await self.exchange_datagrams(), everything)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Peers tell each other of freshness, work and rollouts; late datagrams promise nothing."""
+"""Exchange of freshness proofs, work, failure reports and rollouts between daemons."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class PeersTest(unittest.TestCase):
-    def test_everybody_is_found_through_one_seed(self) -> None:
+    def test_all_members_are_found_through_one_seed(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             self.assertEqual([daemon.peers.member_count() for daemon in daemons], [5] * 5)
 
         run_with_daemons(5, scenario)
 
-    def test_a_proof_passes_to_a_daemon_that_is_cut_from_the_store(self) -> None:
+    def test_a_daemon_cut_off_from_the_store_adopts_a_peers_proof(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             first, second = daemons
             first.state.store_position = second.state.store_position = StorePosition(0, 8)
@@ -32,7 +32,7 @@
 
         run_with_daemons(2, scenario)
 
-    def test_a_proof_of_documents_not_known_here_proves_nothing(self) -> None:
+    def test_a_proof_at_a_later_store_position_is_not_adopted(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             first, second = daemons
             first.state.store_position = StorePosition(0, 9)
@@ -44,7 +44,7 @@
 
         run_with_daemons(2, scenario)
 
-    def test_a_late_answer_ages_by_the_whole_time_since_the_question(self) -> None:
+    def test_a_late_reply_ages_by_the_time_since_its_probe(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             first, second = daemons
             first.state.store_position = second.state.store_position = StorePosition(0, 8)
@@ -58,7 +58,7 @@
 
         run_with_daemons(2, scenario)
 
-    def test_work_is_told_and_forgotten(self) -> None:
+    def test_work_is_sent_to_peers_and_expires(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             first, second = daemons
             replica = first.state.fleet.get("i-1")
@@ -74,8 +74,8 @@
 
         run_with_daemons(2, scenario)
 
-    def test_a_replica_that_two_peers_have_ejected_is_left_alone(self) -> None:
-        """Each of 79 daemons waited 0.8 s for a silent replica to find out by itself."""
+    def test_a_replica_that_two_peers_have_ejected_is_ejected_here(self) -> None:
+        """Guards against every daemon having to time out on a silent replica itself."""
 
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             replicas = [daemon.state.fleet.get("i-1") for daemon in daemons]
@@ -92,7 +92,7 @@
 
         run_with_daemons(4, scenario)
 
-    def test_one_daemon_that_is_cut_off_convicts_no_replica(self) -> None:
+    def test_failure_reports_of_one_isolated_daemon_eject_no_replica(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             for _ in range(5):
                 for replica in daemons[0].state.fleet.replicas():
@@ -103,7 +103,7 @@
 
         run_with_daemons(3, scenario)
 
-    def test_kept_parts_are_told_once(self) -> None:
+    def test_cached_parts_are_sent_once(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             first, second = daemons
             replica = first.state.fleet.get("i-2")
@@ -118,7 +118,7 @@
 
         run_with_daemons(2, scenario)
 
-    def test_a_leader_with_a_lower_fence_is_not_heard(self) -> None:
+    def test_a_leader_with_a_lower_fence_is_ignored(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             first, second, third = daemons
             held = WeightsEntry("i-1", member_hash("i-1"), "m", 2, 1500, 0)
@@ -134,33 +134,34 @@
 
         run_with_daemons(3, scenario)
 
-    def test_a_newcomer_hears_how_old_versions_are(self) -> None:
+    def test_a_new_member_receives_the_ages_of_versions(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             first = daemons[0]
             first.state.weights_versions["m"] = VersionHistory()
             first.state.weights_versions["m"].add(2, first.state.clock() - 5.0)
-            newcomer = Daemon(network, 9)
-            newcomer.state.weights_versions["m"] = VersionHistory()
-            newcomer.state.weights_versions["m"].add(2, newcomer.state.clock())
+            new_member = Daemon(network, 9)
+            new_member.state.weights_versions["m"] = VersionHistory()
+            new_member.state.weights_versions["m"].add(2, new_member.state.clock())
             await asyncio.sleep(3.0)
             due_s = (
-                newcomer.state.weights_versions["m"].expires_at_s(1, 8.0) - newcomer.state.clock()
+                new_member.state.weights_versions["m"].expires_at_s(1, 8.0)
+                - new_member.state.clock()
             )
             self.assertLess(due_s, 0.1)
 
         run_with_daemons(2, scenario)
 
-    def test_nonsense_is_counted_and_dropped(self) -> None:
+    def test_invalid_datagrams_are_counted_and_dropped(self) -> None:
         async def scenario(network: Network, daemons: list[Daemon]) -> None:
             group, generator = daemons[0].peers, random.Random(4)
             for _ in range(200):
                 group.datagram_received(generator.randbytes(generator.randrange(80)), None)
             page = daemons[0].state.metrics.render().decode()
             self.assertIn("winchfork_bad_datagrams_total 200.0", page)
-            heard: list[Resignation] = []
-            daemons[1].peers.register_handler(Resignation, heard.append)
+            received: list[Resignation] = []
+            daemons[1].peers.register_handler(Resignation, received.append)
             group.broadcast(Resignation(3, 10, 20))
             await asyncio.sleep(0.1)
-            self.assertEqual(heard, [Resignation(3, 10, 20)])
+            self.assertEqual(received, [Resignation(3, 10, 20)])
 
         run_with_daemons(2, scenario)
--- a/tests/test_region_fleet.py
+++ b/tests/test_region_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in two regions: what crosses the link between them, and what happens without it."""
+"""Daemons in two regions: traffic between the regions, and partitions between them."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 REGIONS = RegionMap({"a1": "a", "a2": "a", "a3": "a", "b1": "b", "b2": "b", "b3": "b"})
 DAEMONS = 42
-SETTLED_S = 10.0
+STABILIZATION_S = 10.0
 
 
 class TwoRegions:
-    """Daemons in six zones of two regions, before a store that is near the first."""
+    """Daemons in six zones of two regions, with a store that is near the first region."""
 
     def __init__(self) -> None:
         self.network = Network()
@@ -55,8 +55,8 @@
     def of_region(self, region: str) -> list[Daemon]:
         return [daemon for daemon in self.daemons if self.region_of_ip[daemon.ip] == region]
 
-    def speakers(self, region: str) -> list[Daemon]:
-        ids = [speaker.member_id for speaker in self.of_region(region)[0].peers.view.region_hubs]
+    def region_hubs(self, region: str) -> list[Daemon]:
+        ids = [hub.member_id for hub in self.of_region(region)[0].peers.view.region_hubs]
         by_id = {daemon.state.settings.node_id: daemon for daemon in self.daemons}
         return [by_id[member_id] for member_id in ids]
 
@@ -65,7 +65,7 @@
         self.daemons.remove(daemon)
 
     def cut(self) -> None:
-        """Lose everything between the regions, and the second region's way to the store."""
+        """Drop all datagrams between the regions, and cut the second region off from the store."""
         region_of = self.region_of_ip
         self.network.drop = lambda sender, receiver: region_of[sender] != region_of[receiver]
         for daemon in self.of_region("b"):
@@ -77,7 +77,7 @@
             daemon.store.cut = False
 
     def work_seen(self, daemons: list[Daemon], replica_id: str = "i-1") -> Counter[int]:
-        """Return how many requests the daemons believe their peers run on a replica."""
+        """Count the daemons by the number of peers' requests that they see on a replica."""
         seen: Counter[int] = Counter()
         for daemon in daemons:
             daemon.state.fleet.refresh()
@@ -98,21 +98,21 @@
 def in_two_regions(scenario: Callable[[TwoRegions], Awaitable[None]]) -> None:
     async def main() -> None:
         fleet = TwoRegions()
-        await asyncio.sleep(SETTLED_S)
+        await asyncio.sleep(STABILIZATION_S)
         await scenario(fleet)
 
     run_virtually(main())
 
 
-class SpeakersTest(unittest.TestCase):
-    def test_everybody_sees_the_same_speakers_of_each_region(self) -> None:
+class RegionHubsTest(unittest.TestCase):
+    def test_all_daemons_see_the_same_hubs_of_each_region(self) -> None:
         async def scenario(fleet: TwoRegions) -> None:
             for region, other in (("a", "b"), ("b", "a")):
                 seen = {
-                    tuple(speaker.member_id for speaker in daemon.peers.view.region_hubs)
+                    tuple(hub.member_id for hub in daemon.peers.view.region_hubs)
                     for daemon in fleet.of_region(region)
                 } | {
-                    tuple(speaker.member_id for speaker in daemon.peers.view.other_region_hubs)
+                    tuple(hub.member_id for hub in daemon.peers.view.other_region_hubs)
                     for daemon in fleet.of_region(other)
                 }
                 self.assertEqual(len(seen), 1)
@@ -120,20 +120,20 @@
 
         in_two_regions(scenario)
 
-    def test_a_fleet_of_one_region_has_no_far_speakers(self) -> None:
+    def test_with_one_region_there_are_no_hubs_of_other_regions(self) -> None:
         members = [Member(f"n{number}", f"z{number % 3}", "", "", 1) for number in range(30)]
         view = FleetView.of(members[0], members)
         self.assertEqual(view.other_region_hubs, ())
         self.assertEqual(view.same_region_hubs, view.other_zone_hubs)
 
-    def test_the_region_at_the_store_watches_it_and_leads(self) -> None:
+    def test_the_region_nearest_to_the_store_watches_it_and_leads(self) -> None:
         async def scenario(fleet: TwoRegions) -> None:
             watchers = fleet.daemons[0].peers.view.watchers
             self.assertEqual({REGIONS.region_of(watcher.zone) for watcher in watchers}, {"a"})
             leaders = [daemon for daemon in fleet.daemons if daemon.leadership.fence]
             self.assertEqual(len(leaders), 1)
             self.assertEqual(fleet.region_of_ip[leaders[0].ip], "a")
-            asked = {daemon.ip: daemon.store.reads for daemon in fleet.of_region("b")}
+            reads_before = {daemon.ip: daemon.store.reads for daemon in fleet.of_region("b")}
             fleet.put_configuration(4)
             await asyncio.sleep(0.2)
             versions = {
@@ -143,13 +143,13 @@
             }
             self.assertEqual(versions, {4})
             for daemon in fleet.of_region("b"):
-                self.assertEqual(daemon.store.reads, asked[daemon.ip])
+                self.assertEqual(daemon.store.reads, reads_before[daemon.ip])
 
         in_two_regions(scenario)
 
 
 class ExchangeTest(unittest.TestCase):
-    def test_work_of_one_region_is_known_in_the_other(self) -> None:
+    def test_the_work_of_one_region_is_known_in_the_other(self) -> None:
         async def scenario(fleet: TwoRegions) -> None:
             senders = fleet.of_region("a")
             for daemon in senders:
@@ -160,8 +160,8 @@
 
         in_two_regions(scenario)
 
-    def test_little_crosses_however_busy_both_regions_are(self) -> None:
-        """Every hub told every hub twenty times a second: half of 80 MB on a day of 50 s."""
+    def test_traffic_between_busy_regions_is_bounded(self) -> None:
+        """Guards against all hubs sending to all hubs of the other region on each tick."""
 
         async def scenario(fleet: TwoRegions) -> None:
             fleet.crossed_bytes = 0
@@ -173,9 +173,9 @@
 
         in_two_regions(scenario)
 
-    def test_a_successor_speaks_when_the_speaker_is_lost(self) -> None:
+    def test_the_second_region_hub_takes_over_when_the_first_is_lost(self) -> None:
         async def scenario(fleet: TwoRegions) -> None:
-            fleet.kill(fleet.speakers("a")[0])
+            fleet.kill(fleet.region_hubs("a")[0])
             senders = fleet.of_region("a")
             for daemon in senders:
                 send_work(daemon, 1)
@@ -184,28 +184,28 @@
 
         in_two_regions(scenario)
 
-    def test_what_concerns_everybody_reaches_every_daemon_of_both_regions(self) -> None:
+    def test_a_broadcast_reaches_every_daemon_of_both_regions(self) -> None:
         async def scenario(fleet: TwoRegions) -> None:
-            heard: Counter[str] = Counter()
+            received: Counter[str] = Counter()
             for daemon in fleet.daemons:
                 daemon.peers.register_handler(
                     FailureReport,
-                    lambda message, ip=daemon.ip: heard.update([ip]),  # type: ignore[misc]
+                    lambda message, ip=daemon.ip: received.update([ip]),  # type: ignore[misc]
                 )
             sender = next(item for item in fleet.daemons if not item.peers.view.is_hub)
             for _ in range(2):
                 sender.peers.broadcast(FailureReport("n1", 7))
                 await asyncio.sleep(1.0)
             others = {daemon.ip for daemon in fleet.daemons} - {sender.ip}
-            self.assertEqual(set(heard) - {sender.ip}, others)
-            self.assertGreaterEqual(min(heard[ip] for ip in others), 2)
-            self.assertLessEqual(max(heard.values()), 8)
+            self.assertEqual(set(received) - {sender.ip}, others)
+            self.assertGreaterEqual(min(received[ip] for ip in others), 2)
+            self.assertLessEqual(max(received.values()), 8)
 
         in_two_regions(scenario)
 
 
-class CutTest(unittest.TestCase):
-    def test_regions_that_lose_each_other_go_on_alone_and_meet_again(self) -> None:
+class PartitionTest(unittest.TestCase):
+    def test_regions_continue_during_a_partition_and_recover_after_it(self) -> None:
         async def scenario(fleet: TwoRegions) -> None:
             fleet.cut()
             for daemon in fleet.daemons:
@@ -229,7 +229,7 @@
 
         in_two_regions(scenario)
 
-    def test_a_lossy_link_delays_news_and_loses_none_for_good(self) -> None:
+    def test_a_lossy_link_delays_updates_but_loses_none(self) -> None:
         async def scenario(fleet: TwoRegions) -> None:
             region_of, turn = fleet.region_of_ip, iter(range(1_000_000))
             fleet.network.drop = lambda sender, receiver: (
--- a/tests/test_router_metrics.py
+++ b/tests/test_router_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics page: counts by label, cumulative buckets, and figures read when asked."""
+"""The metrics page: counters by label, cumulative buckets, and gauges read on rendering."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 
 class MetricsPageTest(unittest.TestCase):
-    def test_the_page_shows_every_kind_of_figure(self) -> None:
-        figures = RouterMetrics()
-        figures.requests.labels("delivered_200").inc()
-        figures.requests.labels("delivered_200").inc()
-        figures.requests.labels("overloaded").inc()
-        figures.request_seconds.labels("stream").observe(0.3)
-        figures.first_event_seconds.observe(0.03)
-        figures.first_event_seconds.observe(99.0)
+    def test_the_page_shows_every_kind_of_metric(self) -> None:
+        router_metrics = RouterMetrics()
+        router_metrics.requests.labels("delivered_200").inc()
+        router_metrics.requests.labels("delivered_200").inc()
+        router_metrics.requests.labels("overloaded").inc()
+        router_metrics.request_seconds.labels("stream").observe(0.3)
+        router_metrics.first_event_seconds.observe(0.03)
+        router_metrics.first_event_seconds.observe(99.0)
         ready = [False]
-        figures.add_gauge("ready", "Whether callers are wanted.", lambda: ready[0])
+        router_metrics.add_gauge("ready", "Whether callers are wanted.", lambda: ready[0])
         ready[0] = True
-        figures.sent_by_software.labels("models:v2").inc()
-        figures.sent_by_region.labels("perth").inc(3)
-        figures.software_shares = lambda: {"models": 0.25}
-        figures.sent_under_limit.labels("i-1").inc(2)
-        figures.limit_effects.labels("refused").inc()
-        figures.replica_limits = lambda: {"i-1": 0.5}
-        page = figures.render().decode()
+        router_metrics.sent_by_software.labels("models:v2").inc()
+        router_metrics.sent_by_region.labels("perth").inc(3)
+        router_metrics.software_shares = lambda: {"models": 0.25}
+        router_metrics.sent_under_limit.labels("i-1").inc(2)
+        router_metrics.limit_effects.labels("refused").inc()
+        router_metrics.replica_limits = lambda: {"i-1": 0.5}
+        page = router_metrics.render().decode()
         for line in (
             'winchfork_requests_total{outcome="delivered_200"} 2.0',
             'winchfork_requests_total{outcome="overloaded"} 1.0',
@@ -47,14 +47,14 @@
         ):
             self.assertIn(line + "\n", page)
 
-    def test_a_bound_belongs_to_its_bucket(self) -> None:
-        figures = RouterMetrics()
-        figures.first_event_seconds.observe(0.05)
+    def test_a_buckets_upper_bound_is_inclusive(self) -> None:
+        router_metrics = RouterMetrics()
+        router_metrics.first_event_seconds.observe(0.05)
         self.assertIn(
-            'winchfork_first_event_seconds_bucket{le="0.05"} 1.0', figures.render().decode()
+            'winchfork_first_event_seconds_bucket{le="0.05"} 1.0', router_metrics.render().decode()
         )
 
-    def test_the_page_writer_is_not_imported_with_the_router(self) -> None:
+    def test_the_prometheus_client_is_not_imported_with_the_router(self) -> None:
         self.assertNotIn("prometheus_client", vars(metrics))
 
 
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -1,8 +1,6 @@
-"""What comes while this process does not run counts when it runs again.
+"""Answers that arrive while this process is stalled count when it resumes.
 
-A daemon that stood still for three seconds wrote on waking `store_lost reason="... no answer within
-2.50 s"`, although the answer lay in its socket: the timer was seen first. What runs out while
-nobody looks says nothing about the other side.
+Guards against reporting a timeout on resumption although the answer waits in the socket.
 """
 
 from __future__ import annotations
@@ -24,7 +22,7 @@
 
 
 class AnswerInThread:
-    """A server on a thread of its own: it answers also while the event loop stands still."""
+    """A server in a thread, which answers also while the event loop is blocked."""
 
     def __init__(self) -> None:
         self.asked = threading.Event()
@@ -36,7 +34,7 @@
         self._thread.start()
 
     def answer(self) -> None:
-        """Answer, and return when the bytes are on their way."""
+        """Answer, and return when the answer has been sent."""
         self._may_answer.set()
         self.answered.wait()
 
@@ -56,7 +54,7 @@
             self.answered.set()
 
 
-class StandstillTest(unittest.IsolatedAsyncioTestCase):
+class StallTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.server = AnswerInThread()
         self.addCleanup(self.server.close)
@@ -64,10 +62,10 @@
     async def call(self) -> CallReply | Failure:
         pool = ConnectionPool()
         self.addCleanup(pool.close)
-        caller = PooledHttpClient(pool)
-        return await caller.call(self.server.address, b"GET", b"/", None, LIMIT_S, label="test")
+        client = PooledHttpClient(pool)
+        return await client.call(self.server.address, b"GET", b"/", None, LIMIT_S, label="test")
 
-    async def test_an_answer_that_came_during_a_standstill_counts(self) -> None:
+    async def test_an_answer_that_arrives_during_a_stall_counts(self) -> None:
         call = asyncio.create_task(self.call())
         while not self.server.asked.is_set():
             await asyncio.sleep(0.001)
@@ -75,8 +73,8 @@
         time.sleep(LIMIT_S)
         self.assertEqual(await call, CallReply(200, b"ok"))
 
-    async def test_a_connection_that_came_up_during_a_standstill_is_no_failure(self) -> None:
-        """It was taken for certain, and peers were told to leave the replica alone."""
+    async def test_a_connection_that_is_established_during_a_stall_is_no_failure(self) -> None:
+        """Guards against ejecting a replica, here and at peers, because of an own stall."""
         pool = ConnectionPool()
         self.addCleanup(pool.close)
         acquiring = asyncio.create_task(pool.acquire(self.server.address, 4))
@@ -88,18 +86,18 @@
 
 
 class SilentConnectionsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_call_after_a_silent_one_takes_a_new_connection(self) -> None:
-        """Connections fall silent together; each that is tried costs a whole time limit."""
-        kept = answering(lambda request: ANSWER)
-        server = ScriptedReplica(kept, kept, kept, never_answering, kept)
+    async def test_a_call_after_a_timeout_uses_a_new_connection(self) -> None:
+        """Guards against calls that time out on one stale idle connection after the other."""
+        keep_alive = answering(lambda request: ANSWER)
+        server = ScriptedReplica(keep_alive, keep_alive, keep_alive, never_answering, keep_alive)
         await server.start()
         self.addAsyncCleanup(server.stop)
         pool = ConnectionPool()
         self.addCleanup(pool.close)
-        caller = PooledHttpClient(pool)
+        client = PooledHttpClient(pool)
 
         async def call(limit_s: float) -> CallReply | Failure:
-            return await caller.call(server.address, b"GET", b"/", None, limit_s, label="test")
+            return await client.call(server.address, b"GET", b"/", None, limit_s, label="test")
 
         await asyncio.gather(call(5.0), call(5.0), call(5.0))
         self.assertIsInstance(await call(0.05), Failure)
