--- a/winchfork/router/crash_tracker.py
+++ b/winchfork/router/crash_tracker.py
@@ -23,7 +23,7 @@
 #: Crashes after which a request shares no replica with another such request: the cause of the
 #: second crash is among the few requests that ran on both replicas.
 CRASHES_TO_RUN_ALONE = 2
-#: Crashes after which one attempt is not retried on a further replica.
+#: Crashes under one attempt of a caller after which it is not retried on a further replica.
 MAX_CRASHES_PER_ATTEMPT = 2
 #: Seconds that an attempt waits at most to learn whether replicas crashed or only lost its answers.
 MAX_RESOLVE_WAIT_S = 0.5
@@ -96,7 +96,7 @@
         )
 
     def may_run(self, digest: bytes) -> bool:
-        """Whether a request may be sent now; a suspect may not while it is running elsewhere."""
+        """Whether a request may be sent now; a suspect may not while a run of it is under way."""
         return not self.crash_count(digest) or not self._suspect_runs.is_running(
             digest, self._clock()
         )
--- a/winchfork/router/evidence_exchange.py
+++ b/winchfork/router/evidence_exchange.py
@@ -57,7 +57,7 @@
 
 
 class EvidenceExchange:
-    """This daemon's part in the exchange."""
+    """Sends and evaluates the evidence on running rollouts of one daemon."""
 
     def __init__(
         self,
--- a/winchfork/router/notice_exchange.py
+++ b/winchfork/router/notice_exchange.py
@@ -35,7 +35,7 @@
 
 
 class NoticeExchange:
-    """This daemon's part in the exchange."""
+    """Broadcasts the notices that one daemon receives, and applies those of its peers."""
 
     def __init__(
         self,
--- a/winchfork/router/peer_messages.py
+++ b/winchfork/router/peer_messages.py
@@ -36,7 +36,7 @@
 class Activity(PeerMessage, frozen=True):
     """The sender's current work and recent changes.
 
-    ``correction`` has the sender's quota levels for a hub that only has a guess.
+    ``correction`` has the sender's quota levels for a hub whose own are a guess.
     """
 
     sender_id: str
--- a/winchfork/router/quota_exchange.py
+++ b/winchfork/router/quota_exchange.py
@@ -50,7 +50,7 @@
 
 
 class QuotaExchange:
-    """This daemon's part in the exchange."""
+    """Builds and handles one daemon's quota reports, and sets its share of the limits."""
 
     def __init__(self, state: RouterState, peers: PeerMessenger) -> None:
         self._state = state
@@ -74,7 +74,7 @@
         #: Whether the levels are a guess: from the start until reported levels are adopted, at most
         #: for ``STABILIZATION_S``.
         self._is_guessing = True
-        #: Whether a hub of this zone has a guess while this daemon has certain levels.
+        #: Whether a hub of this zone sends guessed levels while those of this daemon are certain.
         self._hub_needs_correction = False
 
     @property
@@ -97,13 +97,13 @@
         return self._zone_usage.report(now_s)
 
     def levels(self, now_s: float, *, complete: bool) -> QuotaLevels:
-        """Return this daemon's estimates."""
+        """Return this daemon's estimated bucket levels, all or only the low ones."""
         coverage_percent = round(self._ledger.refill_share.coverage * 100)
         levels = self._ledger.levels(now_s, complete=complete)
         return QuotaLevels(coverage_percent, complete, self._is_guessing, levels)
 
     def correction(self, now_s: float) -> QuotaLevels | None:
-        """Return the levels for a hub that has a guess; None if there is nothing to correct."""
+        """Return the levels for a hub whose own are a guess; None if there is nothing to correct."""
         if not self._hub_needs_correction:
             return None
         self._hub_needs_correction = False
--- a/winchfork/router/region_exchange.py
+++ b/winchfork/router/region_exchange.py
@@ -30,7 +30,7 @@
 
 
 class RegionExchange:
-    """This daemon's part in the exchange between regions; only region hubs send."""
+    """Sends this region's work, on a region hub, and stores the work of other regions."""
 
     def __init__(self, state: RouterState, peers: PeerMessenger, quotas: QuotaExchange) -> None:
         self._state = state
@@ -50,7 +50,7 @@
     # Sending
 
     def record_zone(self, message: ZoneWork) -> None:
-        """Queue the quota use of a zone of this region; note when the first region hub has sent."""
+        """Queue the quota use of a zone of this region; record when the first hub has sent."""
         view = self._peers.view
         if view.region_hubs and message.sender_id == view.region_hubs[0].member_id:
             self._first_hub_received_at_s = self._state.clock()
--- a/winchfork/router/stall_detector.py
+++ b/winchfork/router/stall_detector.py
@@ -44,6 +44,6 @@
         return now_s
 
     def ran_since(self, at_s: float, now_s: float) -> bool:
-        """Whether the ticks show no stall from ``at_s`` until now."""
+        """Whether the ticks show no stall from ``at_s`` to ``now_s``."""
         is_stalled = self._last_tick_s is not None and now_s - self._last_tick_s >= STALL_S
         return self._resumed_at_s < at_s and not is_stalled
--- a/winchfork/router/work_exchange.py
+++ b/winchfork/router/work_exchange.py
@@ -57,7 +57,7 @@
 
 
 class WorkExchange:
-    """This daemon's part in the exchange."""
+    """Sends one daemon's work and, on a hub, its zone's; sums the work received from peers."""
 
     def __init__(
         self,
