--- a/winchfork/router/quota_exchange.py
+++ b/winchfork/router/quota_exchange.py
@@ -103,7 +103,7 @@
         return QuotaLevels(coverage_percent, complete, self._is_guessing, levels)
 
     def correction(self, now_s: float) -> QuotaLevels | None:
-        """Return the levels for a hub whose own are a guess; None if there is nothing to correct."""
+        """Return the levels for a hub whose own are a guess, or None if none needs them."""
         if not self._hub_needs_correction:
             return None
         self._hub_needs_correction = False
