--- a/winchfork/router/software_rollout.py
+++ b/winchfork/router/software_rollout.py
@@ -1,9 +1,9 @@
-"""The leader carries out operators' orders to move services to other versions of their software.
+"""Carries out operators' orders to roll out another software version to a service.
 
-Each step is one transaction: the service's record and the status that operators read, written only
-if the record is as it is known here and this daemon is still the leader. So a write that is lost,
-late or comes from a leader of before changes nothing that was decided since. What a step waits for
-is seen, never assumed: replicas that take work, answers, and work that has ended.
+Only the leader writes. Each step is one transaction that writes the service's record and the status
+that operators read. It is conditional on the revision of the record and on the leader's entry, so
+that a lost or late write, or one of a former leader, cannot undo a later decision. A step is taken
+only on observed facts: replicas that accept work, answers, and work that has ended.
 """
 
 from __future__ import annotations
@@ -32,26 +32,25 @@
 from winchfork.stores.async_key_value import AsyncKeyValueStore, ExpectedRevision, PutItem
 
 POLL_PERIOD_S = 0.1
-#: Pause after a write, whether or not it was answered: meanwhile the store's watch tells what holds
-#: now. Nothing else does, and a write that is tried again too early changes nothing.
+#: Pause after a write, successful or not, until the store's watch has delivered the current record.
 WRITE_PAUSE_S = 0.3
-#: How long ago an order or a record counts as written that this daemon found at its start.
+#: Assumed age of an order or a record that existed when this daemon started.
 ASSUMED_AGE_AT_START_S = 3.0
-#: Runs that take longer than this many times the mean are rare enough to be cut at the time limit.
+#: Runs longer than this many times the mean may be aborted at the time limit.
 LONG_RUN_RATIO = 4.0
-#: Coverage of a daemon that hears of the work of every other.
+#: Coverage of a daemon that receives the reports of every other daemon.
 FULL_COVERAGE = 1.0
 
 
 class _FirstSeen(msgspec.Struct, frozen=True):
-    """A record's revision, and since when it is known here."""
+    """A revision, and when this daemon first saw it."""
 
     revision: int
     since_s: float
 
 
 class SoftwareRollout:
-    """The duty of the leader; idle on every other daemon."""
+    """The task that advances rollouts while this daemon leads; it only observes otherwise."""
 
     def __init__(
         self,
@@ -68,16 +67,17 @@
         self._status = status
         self._evidence = evidence
         self._records_seen: dict[str, _FirstSeen] = {}
-        #: Answers of each service of late, counted on every daemon: any may lead next.
+        #: Recent answer rate of each service, tracked on every daemon, since any may lead next.
         self._rates: defaultdict[str, AnswerRate] = defaultdict(AnswerRate)
         self._orders_seen: dict[str, _FirstSeen] = {}
         self._next_check_s: dict[str, float] = {}
-        #: Since when some daemon has not been heard of, and when one may last have been forgotten.
+        #: Since when reports of some daemon are missing; None if there are none missing.
         self._coverage_gap_since_s: float | None = None
+        #: When a daemon whose reports are missing may last have been dropped from the coverage.
         self._coverage_lost_s = -math.inf
 
     async def run(self) -> None:
-        """Look for work until cancelled."""
+        """Advance rollouts until cancelled."""
         while True:
             await asyncio.sleep(POLL_PERIOD_S)
             if not self._versions.enabled:
@@ -88,7 +88,7 @@
                     await self._advance(service)
 
     def _observe(self) -> None:
-        """Note since when each order and record is known, on every daemon: any may lead next."""
+        """Record when each order and record was first seen; any daemon may lead next."""
         now_s = self._state.clock()
         self._observe_coverage(now_s)
         for service in self._versions.services():
@@ -101,7 +101,7 @@
                 self._record_order_seen(order, now_s)
 
     def _record_order_seen(self, order: SoftwareOrder, now_s: float) -> None:
-        """Note since when an order is known, by whatever number."""
+        """Record when an order was first seen, also if its number has changed since."""
         seen = self._orders_seen.get(order.service)
         if seen is not None:
             number = self._versions.current_order_number(order.service, seen.revision)
@@ -109,24 +109,24 @@
         _record_first_seen(self._orders_seen, order.service, order.revision, now_s)
 
     def _observe_coverage(self, now_s: float) -> None:
-        """Note whether every daemon is heard; one that is silent for long is no longer missed."""
+        """Track whether reports of every daemon arrive; a silent one is dropped after a while."""
         if self._state.quotas.refill_share.coverage >= FULL_COVERAGE:
             self._coverage_gap_since_s = None
             return
         if self._coverage_gap_since_s is None:
             self._coverage_gap_since_s = now_s
-        missed_s = daemon_memory_s(self._state.settings.bounds) - SILENCE_S
-        if now_s - self._coverage_gap_since_s >= missed_s:
+        retention_s = daemon_memory_s(self._state.settings.bounds) - SILENCE_S
+        if now_s - self._coverage_gap_since_s >= retention_s:
             self._coverage_lost_s = now_s
 
     def _is_fleet_covered(self, service: str) -> bool:
-        """Whether all is heard of that has been under way since a service's order.
+        """Whether the reports of all daemons arrived without a gap since a service's order.
 
-        A daemon that fell silent since, and was forgotten, may have answers under way unheard.
+        A daemon that was dropped from the coverage since then may have unreported requests.
         """
         order = self._orders_seen.get(service)
-        kept_sight = order is not None and self._coverage_lost_s < order.since_s
-        return kept_sight and self._coverage_gap_since_s is None
+        was_covered = order is not None and self._coverage_lost_s < order.since_s
+        return was_covered and self._coverage_gap_since_s is None
 
     async def _advance(self, service: str) -> None:
         now_s = self._state.clock()
@@ -143,11 +143,11 @@
             assumed = self._versions.effective_state(service)
             if not assumed.in_force:
                 return None
-            return RolloutStep(assumed, "the version in force is recorded")
+            return RolloutStep(assumed, "the service has no record of the version in force")
         if order is not None and order.revision > record.order_revision:
             return self._start_order(record, order)
         if self._versions.is_record_lost(service):
-            return RolloutStep(record, "the store came back without it")
+            return RolloutStep(record, "the restored store has no record, or an earlier one")
         if not record.running:
             return None
         return next_step(record, self._view(record), self._state.settings.bounds.exposure)
@@ -158,27 +158,27 @@
         )
         if order.target in record.judged_bad and order.target != record.in_force:
             return RolloutStep(
-                aged.rolled_back(judged_bad=False), "the version was found bad before"
+                aged.rolled_back(judged_bad=False), "an earlier rollout found the version bad"
             )
         if order.target == record.in_force and not record.running:
-            return RolloutStep(aged.completed(), "the version is in force already")
-        return RolloutStep(aged, "ordered")
+            return RolloutStep(aged.completed(), "the version is already in force")
+        return RolloutStep(aged, "an operator ordered the rollout")
 
     def _age_s(self, seen: _FirstSeen) -> float:
-        """Return how long ago something was written that was first seen at a moment.
+        """Return the age of an order or a record, from when this daemon first saw it.
 
-        What was there when this daemon started is older than it looks.
+        An extra age is assumed for one that existed when this daemon started.
         """
-        found_s = (
+        assumed_s = (
             ASSUMED_AGE_AT_START_S if self._versions.was_found_at_start(seen.revision) else 0.0
         )
-        return self._state.clock() - seen.since_s + found_s
+        return self._state.clock() - seen.since_s + assumed_s
 
     def _left_s(self, record: SoftwareState, elapsed_s: float) -> float:
-        """Return how long it is until the time limit of an order.
+        """Return the time until an order's time limit.
 
-        A record is dated by the sight of it, so each loses the time since its decision: many lost
-        more than is kept for the last word. The order is seen once.
+        The age of the order takes precedence over the elapsed time of the records. Each record is
+        dated from when it was first seen, after its write, so that their sum falls behind.
         """
         seen = self._orders_seen.get(record.service)
         if seen is not None and seen.revision == record.order_revision:
--- a/winchfork/router/software_versions.py
+++ b/winchfork/router/software_versions.py
@@ -1,8 +1,8 @@
-"""Which versions of a service's software get requests, as one daemon knows it.
+"""Decides which software versions of a service get requests on this daemon.
 
-A daemon gives a new version its share only while it knows that the share is still in force: it has
-proof, a moment old, that it has seen all that the store holds. One that has just started, was cut
-off or has slept gives it nothing until it has such a proof again.
+A new version gets its share of requests only while this daemon has a recent proof that its copy of
+the store is current. A daemon that has just started, lost the store or was suspended sends the new
+version nothing until it has such a proof again.
 """
 
 from __future__ import annotations
@@ -30,20 +30,19 @@
 from winchfork.logs import log_event
 from winchfork.router.service_answers import OLD_VERSION, ServiceAnswers
 
-#: Part of the bound on rollbacks that is kept for a store whose watches lag, for slow clocks and
-#: for requests on their way: a share whose proof is older than the rest may have been taken back.
+#: Part of the rollback bound reserved for watch lag, clock drift and requests in flight.
 ROLLBACK_MARGIN_S = 1.15
 
 
 class _Stop(msgspec.Struct, frozen=True):
-    """The target of an order gets nothing more."""
+    """A decision that an order's target gets no more requests."""
 
     order_revision: int
     cause: StopCause
 
 
 class SoftwareVersions:
-    """The records of all services, the orders, and this daemon's part in carrying them out."""
+    """Records and orders of all services, and this daemon's routing by them. Not thread-safe."""
 
     def __init__(
         self,
@@ -61,27 +60,27 @@
         self._proof_age_s = proof_age_s
         self._records: dict[str, SoftwareState] = {}
         self._revisions: dict[str, int] = {}
-        #: Services whose record the store has lost, or holds as it was earlier.
+        #: Services whose record is missing or outdated in the store after a restore.
         self._lost_records: set[str] = set()
         self.orders: dict[str, SoftwareOrder] = {}
         self._order_registry = OrderRegistry()
-        #: Revisions of orders and records that were there at the start.
+        #: Revisions of orders and records that existed when this daemon started.
         self._found_at_start: set[int] = set()
-        #: The version taken to be in force where there is no record.
+        #: The version assumed to be in force for services without a record.
         self._assumed_in_force: dict[str, str] = {}
         self._credits: dict[str, ExposureCredit] = {}
         self._stops: dict[str, _Stop] = {}
         self.answers: dict[str, ServiceAnswers] = {}
-        #: Told of each bad answer while a rollout runs, of either version: what is told sooner of
-        #: one than of the other would count against it.
+        #: Called for each bad answer during a rollout, of either version: reporting those of one
+        #: version sooner would bias the comparison.
         self.on_bad_answer: Callable[[], None] = lambda: None
 
-    # What is known
+    # Records and orders
 
     def install(self, state: SoftwareState, revision: int, *, found_at_start: bool = False) -> None:
-        """Take a record from the store; one that is not newer is known already.
+        """Install a record from the store, unless its revision is not newer than the known one.
 
-        ``found``: it was there when this daemon started, nobody knows for how long.
+        ``found_at_start``: the record existed when this daemon started, so its age is unknown.
         """
         if revision <= self._revisions.get(state.service, 0):
             return
@@ -108,7 +107,7 @@
         )
 
     def install_restored(self, state: SoftwareState, revision: int) -> None:
-        """Take a record from a copy of the store: a later one that is known here stays."""
+        """Install a record of a restored store, unless a later one is known; then keep that."""
         state = self._with_current_number(state)
         known = self._records.get(state.service)
         if known is None or known.is_earlier_than(state):
@@ -120,7 +119,7 @@
             self._mark_record_lost(state.service)
 
     def handle_lost_record(self, service: str) -> None:
-        """The store came back without a service's record."""
+        """Mark a service's record as lost, because the restored store does not contain it."""
         if service in self._records:
             self._revisions[service] = 0
             self._mark_record_lost(service)
@@ -130,19 +129,19 @@
         log_event("software_record_lost", "WARNING", service=service)
 
     def is_record_lost(self, service: str) -> bool:
-        """Whether the store holds an earlier record than the one that is known, or none."""
+        """Whether the store has no record, or an earlier one than this daemon."""
         return service in self._lost_records
 
     def install_order(
         self, order: SoftwareOrder, position: StorePosition, *, found_at_start: bool = False
     ) -> None:
-        """Take an operator's order from the store; ``found`` as in :meth:`install`."""
-        news = self._order_registry.record(order, position)
-        if news is None:
+        """Install an operator's order; ``found_at_start`` as in :meth:`install`."""
+        update = self._order_registry.record(order, position)
+        if update is None:
             return
-        self.orders[order.service] = news.order
-        if news.previous_number is not None:
-            self._renumber_order(order.service, news.previous_number, order.revision)
+        self.orders[order.service] = update.order
+        if update.previous_number is not None:
+            self._renumber_order(order.service, update.previous_number, order.revision)
             return
         self._void_later_numbers(order)
         if found_at_start:
@@ -156,11 +155,11 @@
         )
 
     def current_order_number(self, service: str, number: int) -> int:
-        """Return what the order is called now that had a number before."""
+        """Return the current number of the order that once had ``number``."""
         return self._order_registry.current_number(service, number)
 
     def _renumber_order(self, service: str, former: int, number: int) -> None:
-        """The store holds an order under another revision since its return from a copy."""
+        """Use the number that an order got when the store was restored from a backup."""
         state = self._records.get(service)
         if state is not None and state.order_revision == former:
             self._records[service] = self._with_current_number(state)
@@ -176,7 +175,10 @@
         log_event("software_order_renumbered", service=service, order=number, former=former)
 
     def _void_later_numbers(self, order: SoftwareOrder) -> None:
-        """A new order is later than the record, whose number is of an era that is over."""
+        """Void the record's order number if it is not below that of a new order.
+
+        Such a number comes from an earlier era of the store.
+        """
         state = self._records.get(order.service)
         if state is not None and state.order_revision >= order.revision:
             self._order_registry.invalidate(order.service, state.order_revision)
@@ -187,11 +189,11 @@
         return msgspec.structs.replace(state, order_revision=number)
 
     def shares(self) -> dict[str, float]:
-        """Return for each service with a record the share that its target may get."""
+        """Return the share of requests that the target may get, by service with a record."""
         return {service: state.share for service, state in self._records.items()}
 
     def was_found_at_start(self, revision: int) -> bool:
-        """Whether an order or a record of this revision was there at this daemon's start."""
+        """Whether the order or record of this revision existed when this daemon started."""
         return revision in self._found_at_start
 
     def revision(self, service: str) -> int:
@@ -203,7 +205,7 @@
         return self._records.get(service)
 
     def effective_state(self, service: str) -> SoftwareState:
-        """Return a service's record, or what is to be assumed without one."""
+        """Return a service's record, or a default with the version assumed to be in force."""
         return self._records.get(service) or SoftwareState(service, self._assume_in_force(service))
 
     def _assume_in_force(self, service: str) -> str:
@@ -219,14 +221,14 @@
         return self._assumed_in_force[service]
 
     def services(self) -> list[str]:
-        """Return the services that are known to have replicas, an order or a record, sorted."""
+        """Return the services that have replicas, an order or a record, sorted."""
         listed = {replica.listing.service for replica in self._fleet.replicas()}
         return sorted(listed | self.orders.keys() | self._records.keys())
 
-    # Which replicas a request may go to
+    # Routing
 
     def assign_to_target(self, service: str, family: str) -> bool:
-        """Decide once for a request whether it is one of those that go to the new version."""
+        """Decide whether a request goes to the new version. Call this once for each request."""
         state = self._records.get(service)
         if not self.enabled or state is None or not state.running or not state.share:
             return False
@@ -244,7 +246,7 @@
     def allowed_replicas(
         self, service: str, replicas: Sequence[RelayReplica], *, on_target: bool
     ) -> list[RelayReplica]:
-        """Return the replicas that a request may go to, of those that take work."""
+        """Return those of ``replicas`` that a request may be sent to."""
         if not self.enabled:
             return list(replicas)
         state = self.effective_state(service)
@@ -253,8 +255,8 @@
         if self.is_stopped(state) and not state.returning:
             return _of_version(replicas, state.in_force)
         rule = version_rule(state, on_target=on_target and self._is_share_current(state))
-        first = self._preferred_replicas(service, replicas, rule)
-        return first or _of_version(replicas, rule.fallback)
+        preferred = self._preferred_replicas(service, replicas, rule)
+        return preferred or _of_version(replicas, rule.fallback)
 
     def _preferred_replicas(
         self, service: str, replicas: Sequence[RelayReplica], rule: VersionRule
@@ -270,11 +272,11 @@
     # Stopping
 
     def is_stopped(self, state: SoftwareState) -> bool:
-        """Whether the target of a running order gets nothing more."""
+        """Whether the target of a running order gets no more requests."""
         return self.stop_cause(state) is not None
 
     def stop_cause(self, state: SoftwareState) -> StopCause | None:
-        """Return why the target of a running order gets nothing more; None if it may."""
+        """Return why the target of a running order gets no more requests; None if it does."""
         stop = self._stops.get(state.service)
         if stop is None or not state.running or stop.order_revision != state.order_revision:
             return None
@@ -283,11 +285,11 @@
     def stop(
         self, service: str, order_revision: int, cause: StopCause, *, reported_by: str
     ) -> None:
-        """Send the target nothing more, whatever the record says."""
+        """Stop requests to an order's target, regardless of the share in the record."""
         order_revision = self.current_order_number(service, order_revision)
         known, state = self._stops.get(service), self._records.get(service)
-        is_of_before = state is not None and order_revision < state.order_revision
-        if is_of_before or (known is not None and known.order_revision == order_revision):
+        is_outdated = state is not None and order_revision < state.order_revision
+        if is_outdated or (known is not None and known.order_revision == order_revision):
             return
         self._stops[service] = _Stop(order_revision, cause)
         log_event(
@@ -311,16 +313,16 @@
         took_s: float,
         expected_s: float,
     ) -> None:
-        """Count an answer while a rollout runs; ``expected_s`` is what it was predicted to take."""
+        """Count an answer during a rollout; ``expected_s`` is the predicted duration."""
         state = self._records.get(service)
         if not self.enabled or state is None or not state.running:
             return
         is_new = replica.listing.software == state.target
         if not is_new and replica.listing.software != state.in_force:
             return
-        place = replica.order_hash if is_new else OLD_VERSION
+        counted_as = replica.order_hash if is_new else OLD_VERSION
         ratio = took_s / max(expected_s, 1e-3)
-        if self.answers[service].record(place, member_hash(route), ratio, failed=failed):
+        if self.answers[service].record(counted_as, member_hash(route), ratio, failed=failed):
             self.on_bad_answer()
 
 
--- a/winchfork/router/state.py
+++ b/winchfork/router/state.py
@@ -1,4 +1,7 @@
-"""What one router process believes, and the decisions that read it. Not thread-safe: one loop."""
+"""The shared state of one router process, and decisions that depend only on it.
+
+Not thread-safe: everything runs on one event loop.
+"""
 
 from __future__ import annotations
 
@@ -39,21 +42,21 @@
 from winchfork.router.store_eras import StoreEras
 from winchfork.router.zone_outage_handler import ZoneOutageHandler
 
-#: Part of the revocation bound that is kept for a store whose watches lag and for slow clocks.
+#: Part of the revocation bound reserved for watch lag and clock drift.
 REVOCATION_MARGIN_S = 1.15
-#: Seconds for each token out until measured, and the share of a new run in the moving average.
+#: Seconds of a run for each output token, until runs have been measured.
 INITIAL_RUN_S_PER_TOKEN = 0.008
 INITIAL_MEAN_RUN_S = 0.5
+#: Weight of a new run in the exponential moving averages.
 RUN_WEIGHT = 0.05
 BYTES_PER_S_PER_MBPS = 125_000.0
-#: Daemons assumed to share budgets and connections until more are known.
+#: Daemons assumed to share budgets and connections until the members are known.
 ASSUMED_DAEMON_COUNT = 10
-#: Enough that two starts of one daemon never meet in a number.
 START_ID_BITS = 32
 
 
 class RouterState:
-    """Beliefs of one process: configuration, replicas, kept parts, budgets."""
+    """The state of one process: configuration, replicas, cached parts, budgets."""
 
     def __init__(
         self, settings: RouterSettings, clock: Callable[[], float], generator: random.Random
@@ -61,25 +64,25 @@
         self.settings = settings
         self.clock = clock
         self.generator = generator
-        #: When this process began; what it then finds in the store may have been there for long.
+        #: When this process started. The age of store entries that existed then is unknown.
         self.started_at_s = clock()
         self.routing_table: RoutingTable | None = None
-        #: Everything in the store up to there is known here.
+        #: The store position up to which all entries are known.
         self.store_position = StorePosition()
         #: Versions of each model's weights that operators have named.
         self.weights_versions: dict[str, VersionHistory] = {}
-        #: Replicas missing from the list since an outage, with the time until which they are kept.
+        #: Replicas missing from the list since a store outage, and until when they are kept.
         self.missing_until_s: dict[str, float] = {}
         self.fleet = RelayFleet()
         self.fleet.on_incarnation_change = _log_incarnation_change
         self.cache_stores = CacheStores()
         self.region_delay = RegionDelay()
         self.parts = PartIndex()
-        #: What this daemon has learned of kept parts and has not told its peers yet.
+        #: Newly cached parts that have not been reported to peers yet.
         self.cached_parts_backlog = CachedPartsBacklog()
-        #: The daemon that the store names as the leader; empty while there is none.
+        #: Id of the leading daemon by the store's entry; empty while there is none.
         self.leader_id = ""
-        #: Highest fence under which a rollout leader has spoken.
+        #: Highest fence in messages from rollout leaders.
         self.weights_fence = 0
         self.freshness = Freshness()
         self.stall_detector = StallDetector()
@@ -95,24 +98,24 @@
         self.metrics = RouterMetrics()
         self.eras = StoreEras(self.metrics)
         self.stopping = False
-        #: Whether a connection to a replica's address waits to be used.
+        #: Returns whether an idle connection to a replica's address is open.
         self.is_connected: Callable[[str], bool] = lambda address: True
-        #: Told when this daemon has given a replica a prompt.
+        #: Called when this daemon has sent a replica a prompt.
         self.on_work_sent: Callable[[], None] = lambda: None
-        #: Told of each replica that is to be given nothing new, since it loads weights next.
+        #: Called for each replica that gets no new requests because it loads weights next.
         self.on_replica_hold: Callable[[RelayReplica], None] = lambda replica: None
-        #: Told of each replica that has not acknowledged a request on an open connection, and of
-        #: each zone that cannot be reached any more.
+        #: Called for each replica that did not acknowledge a request on an open connection.
         self.on_unresponsive: Callable[[RelayReplica], None] = lambda replica: None
+        #: Called for each zone that has become unreachable.
         self.on_zone_unreachable: Callable[[str], None] = lambda zone: None
-        #: Told of each replica that this daemon ejects on its own evidence.
+        #: Called for each replica that this daemon ejects because of its own failures with it.
         self.on_ejected: Callable[[RelayReplica], None] = lambda replica: None
         bounds = settings.bounds
         self.retry_budget = SlidingRetryBudget(
             RetryAllowance(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s), clock()
         )
         self.daemon_count = ASSUMED_DAEMON_COUNT
-        #: Tells this start of the process from others.
+        #: Random number that identifies this start of the daemon.
         self.start_id = generator.getrandbits(START_ID_BITS)
         self.zone_reachability = ZoneReachability(settings.zone)
         self.zone_outage_handler = ZoneOutageHandler(self)
@@ -120,18 +123,18 @@
         self.crashes = CrashTracker(settings.node_id, clock)
         self._refused_documents_log_limit = LogRateLimit()
         self.limits = LimitRegistry(self)
-        #: Requests that wait for places of limited replicas, by service.
+        #: Requests that wait for a permit because replicas limit their requests, by service.
         self.permit_queues: defaultdict[str, PermitQueue] = defaultdict(PermitQueue)
         self.notices = NoticeRegistry(self)
         self.quotas = QuotaLedger(bounds.quota, self.start_id)
         self._engine_speeds: defaultdict[str, EngineSpeed] = defaultdict(EngineSpeed)
-        #: Seconds of a run for each token that its caller allows out, as measured lately.
+        #: Moving average of a run's duration divided by its allowed number of output tokens.
         self.run_s_per_token = INITIAL_RUN_S_PER_TOKEN
-        #: Seconds of a run, as measured lately.
+        #: Moving average of a run's duration.
         self.mean_run_s = INITIAL_MEAN_RUN_S
 
     def install_table(self, table: RoutingTable) -> bool:
-        """Put a newer configuration in force; False when it is not newer."""
+        """Activate a newer configuration; False if it is not newer."""
         current = self.routing_table.version if self.routing_table else -1
         if table.version <= current:
             return False
@@ -143,16 +146,19 @@
         return True
 
     def cache_store_choices(self, service: str, prompt: Prompt) -> dict[str, CacheStoreChoice]:
-        """Return the store that keeps a prompt's family in each region that has one."""
-        homes = self.cache_stores.stores_by_region(prompt, self.settings.regions)
+        """Return the cache store for a prompt's family, by region that has one."""
+        stores = self.cache_stores.stores_by_region(prompt, self.settings.regions)
         return {
             region: CacheStoreChoice(store, self.copy_tokens_per_s(service, store))
-            for region, store in homes.items()
+            for region, store in stores.items()
         }
 
     @property
     def api_keys_fresh(self) -> bool:
-        """Whether a key that the table holds cannot have been revoked too long ago."""
+        """Whether the API keys of the routing table are recent enough to meet the revocation bound.
+
+        Always true if the bounds do not require it (``fail_closed`` is off).
+        """
         bounds = self.settings.bounds
         if not bounds.fail_closed:
             return True
@@ -161,7 +167,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this process wants callers."""
+        """Whether this process accepts callers."""
         return (
             not self.stopping
             and self.routing_table is not None
@@ -169,7 +175,10 @@
         )
 
     def choose_service(self, route: Route) -> str:
-        """Return the service whose turn it is, or another part when it has no replica."""
+        """Return a service by the route's shares, or another of its services if it has no replica.
+
+        Returns the chosen one if no service of the route has a replica.
+        """
         chosen = self.splits.choose(route)
         if self.fleet.of_service(chosen):
             return chosen
@@ -179,23 +188,23 @@
         return chosen
 
     def record_cached_parts(self, replica: RelayReplica, keys: list[int]) -> None:
-        """Record parts that a replica has read for this daemon."""
-        news = self.parts.record_cached(keys, replica.order_hash, self.clock())
-        if news:
-            self.cached_parts_backlog.add(replica.order_hash, news)
+        """Record parts that a replica has cached while it served this daemon."""
+        new_keys = self.parts.record_cached(keys, replica.order_hash, self.clock())
+        if new_keys:
+            self.cached_parts_backlog.add(replica.order_hash, new_keys)
 
     def record_peer_cached_parts(self, replica_hash: int, keys: tuple[int, ...]) -> None:
-        """Record parts that a replica has read for another daemon."""
+        """Record parts that a replica has cached while it served another daemon."""
         self.parts.record_cached(keys, replica_hash, self.clock())
 
     def record_run(self, output_tokens: int, run_s: float) -> None:
-        """Learn how long runs take by the tokens that they may put out."""
+        """Update the moving averages of run durations; ``output_tokens`` is the run's limit."""
         self.mean_run_s += RUN_WEIGHT * (run_s - self.mean_run_s)
         if output_tokens > 0:
             self.run_s_per_token += RUN_WEIGHT * (run_s / output_tokens - self.run_s_per_token)
 
     def install_listing(self, listing: ReplicaListing) -> None:
-        """Take in what the platform's list says of a replica; newer weights end its load."""
+        """Install a replica's entry from the platform; newer weights in it end its load."""
         known = self.fleet.get(listing.replica_id)
         if known is not None and _has_loaded(known, listing):
             known.loading_until_s = 0.0
@@ -205,15 +214,16 @@
             self.limits.mark_listed(replica)
 
     def record_version(self, replica: RelayReplica, model: str, version: int) -> None:
-        """Record a replica's weights version; newer weights have emptied its cache."""
+        """Record a replica's weights version, if it is newer than the known one."""
         if version > replica.versions.get(model, 0):
             replica.versions[model] = version
 
     def record_refused_version(self, replica: RelayReplica, model: str, refused: int) -> bool:
-        """Record that a replica refused a request for one version; True when it may be asked again.
+        """Record that a replica refused a request for one version; True if it may be retried there.
 
-        Versions only rise, so it has at least the next number. Nothing lowers a believed version,
-        and a replica believed to be newer than it is would refuse everything and never be loaded.
+        Versions only rise, so the replica has at least the next one. If ``refused`` is the newest
+        version, nothing is recorded: an assumed version is never lowered, and a replica assumed to
+        be newer than it is would refuse every request and never be ordered to load.
         """
         history = self.weights_versions.get(model)
         if history is None or refused >= history.newest:
@@ -222,18 +232,21 @@
         return True
 
     def record_refused_document(self, key: str, failure: Failure) -> None:
-        """Count an entry of the store that cannot be read, and log some: many may be written."""
+        """Count a store entry that cannot be decoded, and log it subject to a rate limit."""
         self.metrics.documents_refused.inc()
         if self._refused_documents_log_limit.allows(self.clock()):
             log_event("document_refused", "WARNING", key=key, reason=failure.reason)
 
     def mark_superseded(self, replica: RelayReplica, by: str = "") -> None:
-        """Record that another incarnation answers at a replica's address, ``by`` if it said so."""
+        """Record that another incarnation answers at a replica's address.
+
+        ``by`` is the id that it gave of itself, or empty.
+        """
         self.fleet.record_other_answered(replica, by)
         self.crashes.record_crash(replica, CrashEvidence.REPLACED)
 
     def record_failure(self, replica: RelayReplica, reason: str, *, certain: bool = False) -> None:
-        """Record a replica's failure; log when it is now left alone for a while."""
+        """Record a replica's failure; log if the replica is now ejected for a while."""
         now_s = self.clock()
         if certain:
             self.zone_reachability.record_failure(replica.listing.zone, replica.order_hash, now_s)
@@ -248,7 +261,7 @@
             self.on_ejected(replica)
 
     def record_failure_report(self, replica_hash: int, reporter: str) -> None:
-        """Record that a peer has ejected a replica; log when it is now left alone here as well."""
+        """Record that a peer has ejected a replica; log if it is now ejected here as well."""
         now_s = self.clock()
         for replica in self.fleet.replicas():
             if replica.order_hash != replica_hash:
@@ -258,19 +271,19 @@
                 log_event(
                     "replica_ejected",
                     replica=replica.replica_id,
-                    reason="peers have ejected it",
+                    reason="peers have ejected the replica",
                     told_by=reporter,
                     for_s=replica.ejected_until_s - now_s,
                 )
 
     def engine_speed(self, service: str) -> EngineSpeed:
-        """Return what is known of the speed of a service's engines."""
+        """Return the measured speed of a service's engines."""
         return self._engine_speeds[service]
 
     def copy_tokens_per_s(self, service: str, store: RelayReplica | None = None) -> float:
-        """Return how fast a service's replicas copy kept parts in their zone; 0 where they cannot.
+        """Return how fast a service's replicas copy cached parts in their zone; 0 if they cannot.
 
-        They copy from each other, or from a store whose link may be slower.
+        They copy from each other, or from ``store``, whose link may be slower.
         """
         known = self.routing_table.services.get(service) if self.routing_table else None
         engine = known.engine if known else None
@@ -282,23 +295,23 @@
         return link_mbps * BYTES_PER_S_PER_MBPS / engine.token_bytes
 
     def cache_capacity_tokens(self, service: str) -> int:
-        """Return the tokens that each of the service's replicas has memory for; 0 if not known."""
+        """Return the tokens that each replica of the service can cache; 0 if unknown."""
         known = self.routing_table.services.get(service) if self.routing_table else None
         return known.engine.cache_tokens if known and known.engine else 0
 
     def is_configured(self, service: str) -> bool:
-        """Whether the configuration names a service; without one, nothing is known against it."""
+        """Whether the configuration names a service; true while there is no configuration."""
         return self.routing_table is None or service in self.routing_table.services
 
     def connection_limit(self, service: str) -> int:
-        """Return this daemon's part of the connections that one replica takes."""
+        """Return this daemon's share of the connections that one replica accepts."""
         known = self.routing_table.services.get(service) if self.routing_table else None
         total = known.max_connections if known else 64
         return max(2, total // self.daemon_count)
 
 
 def _has_loaded(known: RelayReplica, listing: ReplicaListing) -> bool:
-    """Whether the list now shows a newer version of some model than was believed."""
+    """Whether the entry has a newer version of some model than was known."""
     return any(
         version > known.versions.get(model, 0) for model, version in listing.versions.items()
     )
--- a/winchfork/router/store_eras.py
+++ b/winchfork/router/store_eras.py
@@ -1,7 +1,7 @@
-"""Which era of the store this daemon's answers come from.
+"""Tracks the newest era of the store.
 
-A store that comes back from a copy begins a new era: revisions and leases that it gave out after
-the copy are void, and are given out again. Eras rise; 0 stands for an answer that names none.
+A store that is restored from a backup begins a new era: revisions and leases that it assigned after
+the backup are void and may be assigned again. Eras rise; 0 stands for an answer that names none.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from winchfork.stores.async_key_value import StoreAnswer
 
 STATUS_OK = 200
-#: The store no longer has the history that a watch is to go on from.
+#: The store no longer has the history from which a watch was to continue.
 STATUS_GONE = 410
-#: Names of unknown headers that are told.
+#: Maximum number of different unknown header names to log.
 MAX_UNKNOWN_HEADERS = 20
 
 
 class StoreEras:
-    """The newest era heard of, and what answers said on the way. Not thread-safe."""
+    """The newest known era, and counts of unusual answers. Not thread-safe."""
 
     def __init__(self, metrics: RouterMetrics) -> None:
         self._metrics = metrics
@@ -27,7 +27,7 @@
         self.newest = 0
 
     def handle_answer(self, answer: StoreAnswer) -> None:
-        """Take in what an answer of the store says of the store itself."""
+        """Record the era, the status and any unknown headers of an answer of the store."""
         self.advance_to(answer.era)
         for name in answer.unknown_headers:
             if self._unknown_headers.count(name):
@@ -38,7 +38,7 @@
             log_event("store_history_lost", "WARNING", era=answer.era or None)
 
     def advance_to(self, era: int, *, reported_by: str = "store") -> None:
-        """Take in an era that the store or a peer names."""
+        """Record an era that the store or a peer named; ignore it if it is not newer."""
         if era <= self.newest:
             return
         before, self.newest = self.newest, era
--- a/winchfork/router/store_sync.py
+++ b/winchfork/router/store_sync.py
@@ -1,11 +1,12 @@
-"""Keeps the router's beliefs in step with the store: list once, then watch.
-
-One watch covers every document, so one call proves all of them current. An empty batch proves that
-nothing had changed when the wait was over; the proof is dated by the moment that the wait must have
-ended, never by when the answer came, and by the question when the answer is late. Positions never
-go back; an era of the store begins with a complete list, and what comes of another one is dropped.
-In a large fleet two hubs watch; a daemon that peers keep informed takes their updates, and asks the
-store itself only when its proof grows old.
+"""Keeps the router's state in sync with the store: list once, then watch.
+
+One watch covers all documents, so that one call proves all of them current. An empty batch proves
+that nothing had changed by the end of the wait, so the proof is dated by the start of the call plus
+the wait, never by the arrival of the answer; if the answer is late, by the start of the call alone.
+
+Positions only advance. An era of the store begins with a complete list, and answers from another
+era are dropped. In a large fleet two hubs watch; the other daemons use relayed updates, and query
+the store themselves only when their freshness proof gets too old.
 """
 
 from __future__ import annotations
@@ -27,31 +28,31 @@
 from winchfork.router.state import RouterState
 from winchfork.stores.async_key_value import AsyncKeyValueStore
 
-#: Longest wait of one watch. A cut that heals is noticed within this and the store's time limit.
+#: Longest wait of one watch, which bounds how late a restored connection is noticed.
 WATCH_WAIT_S = 1.6
-#: The same for a watcher of a large fleet, which is as current as its last answer.
+#: The same for a watcher that relays to a large fleet.
 FLEET_WATCH_WAIT_S = 0.4
-#: Pause of a hub after a change, so that changes that come together cost one call.
+#: Pause of a hub after a change, to receive further changes in one call.
 CHANGE_BATCH_S = 0.1
-#: Pause between looks of a daemon that hubs keep informed.
+#: Poll interval of a daemon that gets relayed updates.
 RELAYED_POLL_PERIOD_S = 0.1
-#: An empty answer that is later than this after its wait proves nothing about the wait.
+#: An answer later than this after its wait is dated from the start of the call.
 LATE_ANSWER_S = 0.5
-#: First and longest pause after a failed call; each pause is jittered by half of itself.
+#: First and longest backoff after failed calls, before jitter of half its length up or down.
 INITIAL_BACK_OFF_S = 0.1
 MAX_BACK_OFF_S = 0.5
-#: The same for a daemon that is no hub: there are many, and hubs will tell it.
+#: The longest backoff of a daemon that is no watcher.
 MAX_FOLLOWER_BACK_OFF_S = 1.5
-#: A daemon that has just started is held to the bound on versions this long after its process
-#: began: starts of 3 s on a busy machine, not counted, let old weights be begun for 3 s more.
+#: How long after the start of its process a daemon may use weights older than those that it finds
+#: named. Counted from the process start, since the start alone may take seconds.
 START_GRACE_S = 3.0
-#: Part of the time to become stable that is not relied on.
+#: Part of the store's stabilization time that is not relied on.
 STABILIZATION_MARGIN_S = 0.5
 _ALL_KEYS = ""
 
 
 class StoreSync:
-    """The task that follows the store."""
+    """The task that lists and watches the store. Not thread-safe."""
 
     def __init__(
         self,
@@ -66,20 +67,20 @@
         self._leadership = leadership
         self._installer = DocumentInstaller(state, reader, leadership)
         self._generator = generator
-        #: The entries as they were written, to be passed on to peers.
+        #: The store's entries, from which peers' pulls are answered.
         self.table = DocumentTable()
         self._relay: DocumentRelay | None = None
         self._lost_since_s: float | None = None
         self._has_listed = False
-        #: When what is being installed was written.
+        #: When the entries that are being installed were written.
         self._entry_date = EntryDate(-math.inf, assumed=True)
 
     def set_relay(self, relay: DocumentRelay) -> None:
-        """Pass changes on to peers, and rely on theirs where hubs keep this daemon informed."""
+        """Relay changes through ``relay``, and rely on its updates while they are current."""
         self._relay = relay
 
     async def run(self) -> None:
-        """Follow the store until cancelled."""
+        """Sync with the store until cancelled."""
         failures = 0
         while True:
             if self._has_listed and self._relay is not None and self._relay.is_relay_current:
@@ -89,7 +90,7 @@
                 await asyncio.sleep(RELAYED_POLL_PERIOD_S)
                 continue
             position = self._state.store_position
-            asked_s = self._state.clock()
+            started_s = self._state.clock()
             failure = await (self._watch_once() if self._has_listed else self._list_once())
             if failure is None:
                 failures = 0
@@ -98,22 +99,22 @@
                 continue
             failures += 1
             if failure.kind is FailureKind.HISTORY_LOST:
-                # The store answers a watch: a list is due at once, however long it was away.
+                # The store has answered, so list soon, without the backoff of earlier failures.
                 failures = 1 if self._has_listed else failures
                 self._has_listed = False
             else:
-                self._state.store_outage.record_failure(asked_s, self._state.clock())
+                self._state.store_outage.record_failure(started_s, self._state.clock())
                 self._mark_store_lost(failure)
             await asyncio.sleep(self._back_off_s(failures))
 
     def _back_off_s(self, failures: int) -> float:
-        longest_s = MAX_BACK_OFF_S if self._is_watcher else MAX_FOLLOWER_BACK_OFF_S
-        pause_s = min(longest_s, INITIAL_BACK_OFF_S * 2.0 ** (failures - 1))
+        max_s = MAX_BACK_OFF_S if self._is_watcher else MAX_FOLLOWER_BACK_OFF_S
+        pause_s = min(max_s, INITIAL_BACK_OFF_S * 2.0 ** (failures - 1))
         return pause_s * (0.5 + self._generator.random())
 
     @property
     def _is_watcher(self) -> bool:
-        """Whether this daemon is one of those that watch the store."""
+        """Whether this daemon watches the store."""
         return self._relay is None or self._relay.is_watcher
 
     @property
@@ -121,26 +122,27 @@
         return self._relay is not None and self._relay.relays_to_others
 
     async def _list_once(self) -> Failure | None:
-        asked_s = self._state.clock()
+        started_s = self._state.clock()
         snapshot = await self._store.list(_ALL_KEYS)
         if isinstance(snapshot, Failure):
             return snapshot
         if snapshot.position.era < self._state.eras.newest:
             return self._drop_answer(snapshot.position, "era_over")
         after_outage = self._lost_since_s is not None
-        self._mark_store_regained(asked_s)
+        self._mark_store_regained(started_s)
         self._entry_date = self._date_entries(in_time=False)
         items = tuple(TableItem(item.key, item.revision, item.value) for item in snapshot.items)
         self._install_complete(items, snapshot.position, after_outage)
-        self._record_proof(asked_s)
+        self._record_proof(started_s)
         return None
 
     def _install_complete(
         self, items: tuple[TableItem, ...], at: StorePosition, after_outage: bool
     ) -> None:
-        """Take a complete list in, and note what it no longer holds.
+        """Install a complete list, and the removal of the entries that it lacks.
 
-        What the first list of an era lacks may only not have been written again yet.
+        The first list of an era counts as one after an outage: an entry that it lacks may exist,
+        but not have been written again yet.
         """
         if at.era > self._state.store_position.era:
             self._begin_era(at)
@@ -149,16 +151,16 @@
         self._install_newer(items, at.era)
         self._installer.is_restoring = False
         missing = self.table.missing_from(item.key for item in items)
-        gone = [TableItem(key, at.revision, None, after_outage) for key in missing]
+        removed = [TableItem(key, at.revision, None, after_outage) for key in missing]
         self.table.mark_listed(at.revision, after_outage=after_outage)
-        self._install_newer(gone, at.era)
+        self._install_newer(removed, at.era)
         if LEADER_KEY not in {item.key for item in items}:
             self._leadership.record_no_entry(at)
         self._advance_position(at)
         self._has_listed = self._installer.has_listed = True
 
     async def _watch_once(self) -> Failure | None:
-        asked_s = self._state.clock()
+        started_s = self._state.clock()
         wait_s = self._watch_wait_s()
         base = self._state.store_position
         batch = await self._store.watch(_ALL_KEYS, base.revision, wait_s)
@@ -167,20 +169,20 @@
         if batch.position.era != base.era or base.era != self._state.store_position.era:
             return self._drop_answer(batch.position, "other_era")
         answered_s = self._state.clock()
-        in_time = answered_s - asked_s <= wait_s + LATE_ANSWER_S
+        in_time = answered_s - started_s <= wait_s + LATE_ANSWER_S
         self._entry_date = self._date_entries(in_time=in_time and self._lost_since_s is None)
-        self._mark_store_regained(asked_s)
+        self._mark_store_regained(started_s)
         items = tuple(TableItem(item.key, item.revision, item.value) for item in batch.items)
         self._install_newer(items, batch.position.era)
         self._advance_position(batch.position)
         if self._relay is not None:
             self._relay.broadcast(TableUpdate(base, batch.position, False, False, items))
-        waited = in_time and not batch.items and answered_s - asked_s >= wait_s
-        self._record_proof(asked_s + wait_s if waited else asked_s)
+        waited = in_time and not batch.items and answered_s - started_s >= wait_s
+        self._record_proof(started_s + wait_s if waited else started_s)
         return None
 
     def _begin_era(self, at: StorePosition) -> None:
-        """Begin an era of the store with the list that comes next."""
+        """Prepare for the list that begins a new era of the store."""
         self._state.eras.advance_to(at.era, reported_by="update")
         known = self._state.store_position
         if self._installer.has_listed:
@@ -195,7 +197,7 @@
         self.table.begin_era()
 
     def _drop_answer(self, at: StorePosition, why: str) -> Failure:
-        """Take nothing of an answer that belongs to another era: a list has to come first."""
+        """Drop an answer from another era; the returned failure leads to a new list."""
         self._state.metrics.updates_dropped.labels(why).inc()
         log_event(
             "store_answer_dropped",
@@ -205,10 +207,10 @@
             revision=at.revision,
             known_era=self._state.store_position.era or None,
         )
-        return FailureKind.HISTORY_LOST.because(f"an answer of era {at.era}")
+        return FailureKind.HISTORY_LOST.because(f"the answer is from store era {at.era}")
 
     def _advance_position(self, at: StorePosition) -> None:
-        """Everything up to a position is known here; one that is below ours is counted and told."""
+        """Advance the known position to ``at``; count and log one that is below it."""
         known = self._state.store_position
         if at < known:
             self._state.metrics.updates_dropped.labels("revision_below").inc()
@@ -222,7 +224,11 @@
         self._state.store_position = max(known, at)
 
     def _date_entries(self, *, in_time: bool) -> EntryDate:
-        """Date what an answer brings: now, or as old as it may be if this daemon could not hear."""
+        """Return when the entries of an answer were written.
+
+        That is now if the answer is ``in_time`` and the process did not stall since the last proof;
+        otherwise the earliest time at which they may have been written.
+        """
         now_s = self._state.clock()
         proven_s = self._state.freshness.proven_at_s
         if in_time and self._state.stall_detector.ran_since(proven_s, now_s):
@@ -230,16 +236,16 @@
         return EntryDate(max(proven_s, now_s - self._assumed_age_s()), assumed=True)
 
     def _record_proof(self, at_s: float) -> None:
-        """The store has shown everything that it held at ``at_s``."""
+        """Record that all entries that the store held at ``at_s`` are known."""
         self._state.freshness.prove(at_s)
         self._state.store_outage.record_answer(at_s)
         self._restart_weights_bounds()
 
     def _watch_wait_s(self) -> float:
-        """Return how long a watch may wait; not at all when a proof is wanted at once.
+        """Return how long a watch may wait; 0 if a freshness proof is needed at once.
 
-        An answer that brings something, or comes late, proves no more than its question's time: the
-        next has that much less time, so that no proof of a sound fleet grows older than one wait.
+        The age of the proof is deducted, since an answer with entries or a late one only proves the
+        start of its call. So while calls succeed, no proof gets older than one wait.
         """
         if self._lost_since_s is not None or not self._is_watcher:
             return 0.0
@@ -247,9 +253,9 @@
         return max(0.0, min(left_s, FLEET_WATCH_WAIT_S if self._relays_to_others else WATCH_WAIT_S))
 
     def install_update(self, update: TableUpdate) -> bool:
-        """Install what a peer passed on; False when something before it is missing here."""
+        """Install a relayed update; False if it leaves a gap after the known position."""
         age_s = self._state.freshness.age_s(self._state.clock())
-        # One that watches itself and hears it from a peer could not hear it when it was written.
+        # A watcher that gets an update from a peer has missed it in its own watch.
         in_time = age_s <= WATCH_WAIT_S + LATE_ANSWER_S and not self._is_watcher
         known = self._state.store_position
         self._entry_date = self._date_entries(in_time=in_time and update.at.era == known.era)
@@ -267,21 +273,21 @@
     # Documents
 
     def expire_missing_replicas(self, now_s: float) -> None:
-        """Settle what waits for replicas to write themselves again."""
+        """Remove missing replicas whose grace period is over, and list entries held back."""
         self._installer.expire_missing_replicas(now_s)
 
     def _install_newer(self, items: Iterable[TableItem], era: int) -> None:
-        """Install the entries that are newer than what is held."""
+        """Install the entries that are newer than those in the table."""
         for item in items:
             if self.table.apply(item):
                 self._installer.install(item, era, self._entry_date)
 
     def _assumed_age_s(self) -> float:
-        """Return how long ago a version counts as named that the first list holds.
+        """Return the assumed age of a weights version that was named at an unknown time.
 
-        It may have been named long ago, and until a peer tells, a daemon that has just started is
-        granted the rest of a bound that began before it did. One that has listed could not hear
-        since its last proof, and its grace counts from then.
+        It may have been named long ago, so the bound on older weights is assumed to end
+        ``START_GRACE_S`` after the process started, or after the last freshness proof if there was
+        a list before. A peer's report of the actual time takes precedence.
         """
         now_s = self._state.clock()
         began_s = self._state.started_at_s
@@ -290,7 +296,7 @@
         grace_s = START_GRACE_S - (now_s - began_s)
         return max(0.0, self._state.settings.bounds.weights_s - max(0.0, grace_s))
 
-    # The store as a dependency
+    # Outages
 
     def _mark_store_lost(self, failure: Failure) -> None:
         if self._lost_since_s is None:
@@ -309,9 +315,9 @@
         log_event("store_regained", after_s=now_s - lost_s)
 
     def _restart_weights_bounds(self) -> None:
-        """Begin bounds on weights anew that were running when the store was lost for all.
+        """Restart the weights bounds that were running when a fleet-wide store outage began.
 
-        One daemon's failed calls move nothing: the others go on counting and loading.
+        An outage for this daemon alone has no effect on the bounds.
         """
         outage = self._state.store_outage.pop_ended()
         if outage is None:
@@ -331,5 +337,5 @@
                 )
 
     def _stabilization_s(self) -> float:
-        """Return how long a store that has come back is not yet counted as stable."""
+        """Return how long after its return a store does not yet count as stable."""
         return max(0.0, self._state.settings.bounds.contact_s - STABILIZATION_MARGIN_S)
--- a/winchfork/router/weights_rollout.py
+++ b/winchfork/router/weights_rollout.py
@@ -1,9 +1,9 @@
-"""The leader brings replicas to the newest weights that operators have named.
+"""Orders replicas to load the newest weights that operators have named, while this daemon leads.
 
-Each replica under order has one task: peers are told to send it nothing, its report gives the
-sequence that the order expects, the order is given under the leader's fence, and the report is
-asked again until the replica has the version. An order without an answer may still be carried out,
-so it is never assumed undone: the report decides, and the next order expects the next sequence.
+One task for each replica asks the peers to send it no new requests, reads the expected sequence
+number from its report, gives the order under the leader's fence, and polls the report until the
+replica has the version. An order without an answer may still be carried out, so the report decides
+whether it was; a repeated order expects the sequence number of the newer report.
 """
 
 from __future__ import annotations
@@ -29,26 +29,26 @@
 from winchfork.router.weights_exchange import WeightsExchange
 
 POLL_PERIOD_S = 0.1
-#: Pause between reports while a replica finishes its requests and loads.
+#: Poll interval of reports while a replica finishes its requests and loads.
 REPORT_PERIOD_S = 0.1
-#: Time for peers to hear of a hold, and the longest wait for prompts already sent to be read:
-#: a replica refuses what has not begun when it takes the order.
+#: Time for a hold to reach the peers.
 HOLD_PROPAGATION_S = 0.03
+#: Longest wait for the prefill of prompts already sent; a replica under order refuses the rest.
 MAX_PREFILL_WAIT_S = 0.6
-#: A replica that has taken no order for this long is left until the next pass; one that has taken
-#: an order is waited for longer: its longest answer ends first.
+#: Limit of the time until a replica accepts an order; after it, the next pass begins anew.
 MAX_ORDER_WAIT_S = 4.0
+#: Limit of the total time once an order was accepted; covers the replica's longest answer.
 MAX_LOAD_WAIT_S = 12.0
-#: After this many reports in a row without an answer the replica's turn goes to another.
+#: Consecutive failed reports after which a replica is given up until the next pass.
 MAX_FAILED_REPORTS = 3
-#: Reports lag behind by some hundred milliseconds.
+#: How far a replica's report may lag behind its state.
 REPORT_LAG_S = 0.35
-#: At a planned stop, replicas under order are waited for this long.
+#: How long a graceful shutdown waits for replicas under order.
 MAX_STOP_WAIT_S = 2.0
 
 
 class WeightsRollout:
-    """The duty of the leader; idle on every other daemon."""
+    """The task that orders loads while this daemon leads; idle otherwise."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         leadership: Leadership,
         control: ReplicaControl,
         peers: PeerGroup,
-        news: WeightsExchange,
+        exchange: WeightsExchange,
     ) -> None:
         self._state = state
         self._leadership = leadership
@@ -65,10 +65,10 @@
         self._under_order: dict[str, asyncio.Task[None]] = {}
         self._stopping = False
         self._pace = LoadPace(state.settings.bounds.weights_s)
-        self._announcements = WeightsAnnouncer(news.broadcast_weights, state.clock)
+        self._announcements = WeightsAnnouncer(exchange.broadcast_weights, state.clock)
 
     async def run(self) -> None:
-        """Look for work until cancelled."""
+        """Order loads until stopped or cancelled."""
         while not self._stopping:
             await asyncio.sleep(POLL_PERIOD_S)
             if self._leadership.may_act():
@@ -76,7 +76,7 @@
                     self._run_pass(model)
 
     async def stop(self) -> None:
-        """Begin nothing new; wait for the replicas under order, then hand the leadership over."""
+        """Order no more loads, wait for the replicas under order, then resign the leadership."""
         self._stopping = True
         self._leadership.withdraw()
         if self._under_order:
@@ -89,7 +89,7 @@
             self._peers.broadcast(resignation)
 
     def active_tasks(self) -> list[asyncio.Task[None]]:
-        """Return the tasks that bring replicas to a version."""
+        """Return the tasks of the replicas under order."""
         return list(self._under_order.values())
 
     def _run_pass(self, model: str) -> None:
@@ -111,14 +111,14 @@
     def _view(self, replica: RelayReplica, model: str, now_s: float) -> LoadingReplica:
         due_s = self._state.replica_selector.weights_expire_at_s(model, replica.versions[model])
         overdue = now_s + START_MARGIN_S >= due_s
-        # One that wants no requests is ordered after its backoff, unless it may run none before.
-        is_left_alone = now_s < replica.ejected_until_s or (
+        # A replica that backs off gets its order afterwards, unless its weights expire before that.
+        is_unavailable = now_s < replica.ejected_until_s or (
             replica.notice.is_backing_off(now_s) and not overdue
         )
         return LoadingReplica(
             replica.replica_id,
             replica.versions[model],
-            replica.accepting and not is_left_alone,
+            replica.accepting and not is_unavailable,
             max(0.0, replica.busy_until_s - now_s),
             replica.replica_id in self._under_order,
             overdue,
@@ -140,30 +140,30 @@
     async def _bring_up_to_date(self, replica: RelayReplica, model: str) -> None:
         """Bring one replica to the newest version, or give up until the next pass."""
         version = self._state.weights_versions[model].newest
-        begun_s = self._state.clock()
+        started_s = self._state.clock()
         fence = self._leadership.fence
         await self._hold_new_requests(replica, model, fence)
         ordered = False
-        unheard = 0
-        while self._should_continue(replica, begun_s, ordered):
+        failed_reports = 0
+        while self._should_continue(replica, started_s, ordered):
             report = await self._report(replica)
             if isinstance(report, Failure):
-                unheard += 1
-                if unheard >= MAX_FAILED_REPORTS:
+                failed_reports += 1
+                if failed_reports >= MAX_FAILED_REPORTS:
                     self._state.record_failure(replica, report.reason, certain=True)
                     break
             elif report.is_of_another_incarnation(replica.listing.started_at_ms):
                 break
             else:
-                unheard = 0
-                held = report.versions.get(model, 0)
-                if held >= version and not report.busy:
-                    self._state.record_version(replica, model, held)
+                failed_reports = 0
+                loaded = report.versions.get(model, 0)
+                if loaded >= version and not report.busy:
+                    self._state.record_version(replica, model, loaded)
                     if ordered:
-                        self._pace.record_load(self._state.clock() - begun_s)
+                        self._pace.record_load(self._state.clock() - started_s)
                     break
                 if not ordered and not report.busy:
-                    # A newer one may have been named since this turn began.
+                    # A newer version may have been named since the task started.
                     version = self._state.weights_versions[model].newest
                     ordered = await self._order(replica, model, version, report)
             fence = max(fence, self._leadership.fence)
@@ -173,24 +173,24 @@
             log_event("rollout_postponed", "WARNING", replica=replica.replica_id, version=version)
         self._announcements.release(replica, model, fence)
 
-    def _should_continue(self, replica: RelayReplica, begun_s: float, ordered: bool) -> bool:
-        """Whether to look again: after an order that may be carried out, also without the lease.
+    def _should_continue(self, replica: RelayReplica, started_s: float, ordered: bool) -> bool:
+        """Whether to poll the replica's report again.
 
-        Only giving orders needs the leadership. A replica that has taken one refuses requests until
-        it is done, so peers must go on being told.
+        Only an order needs the leadership. After one, polling goes on without it, because the
+        replica refuses requests until it is done and the peers' hold has to be renewed.
         """
-        # A later incarnation under the same id has taken no order of this task.
-        has_gone = self._state.fleet.get(replica.replica_id) is not replica
-        if has_gone or replica.incarnation_state is IncarnationState.ENDED:
+        # A later incarnation with the same id got no order from this task.
+        is_removed = self._state.fleet.get(replica.replica_id) is not replica
+        if is_removed or replica.incarnation_state is IncarnationState.ENDED:
             return False
-        waited_s = self._state.clock() - begun_s
+        waited_s = self._state.clock() - started_s
         if ordered:
             return waited_s < MAX_LOAD_WAIT_S
         may_order = not replica.superseded and self._leadership.may_act()
         return waited_s < MAX_ORDER_WAIT_S and may_order
 
     async def _hold_new_requests(self, replica: RelayReplica, model: str, fence: int) -> None:
-        """Keep new requests away, and let those that were sent begin."""
+        """Ask peers to send no new requests, and wait for the prefill of those already sent."""
         self._announcements.hold(replica, model, fence)
         await asyncio.sleep(HOLD_PROPAGATION_S)
         until_s = self._state.clock() + MAX_PREFILL_WAIT_S
@@ -200,7 +200,7 @@
     async def _order(
         self, replica: RelayReplica, model: str, version: int, report: ReplicaReport
     ) -> bool:
-        """Give the order; True when it need not be given again soon."""
+        """Give the order; True if the replica has accepted it or already has the version."""
         order = WeightsOrder(
             replica.replica_id,
             model,
@@ -238,7 +238,10 @@
         return await self._control.report(replica.listing.address, on_notice)
 
     async def _was_accepted(self, replica: RelayReplica, before: ReplicaReport) -> bool:
-        """Ask whether an order without an answer has been taken; it may still come later."""
+        """Return whether the report shows that an order without an answer was accepted.
+
+        If not, the order may still be carried out later.
+        """
         await asyncio.sleep(REPORT_LAG_S)
         report = await self._report(replica)
         return isinstance(report, ReplicaReport) and report.sequence > before.sequence
