--- a/tests/entry_fuzz.py
+++ b/tests/entry_fuzz.py
@@ -1,9 +1,9 @@
-"""Entries of another writer beside good ones: drawn at random, judged by a simple oracle.
+"""Fuzzes the store with random invalid entries among valid ones.
 
     python -m tests.entry_fuzz --seconds 60 [--seed S]
 
-The oracle: every good entry is seen as it was written last, nothing else is, and the daemon goes on
-following the store.
+Checks that the daemon sees the last version of every valid entry and nothing else, and that it goes
+on following the store.
 """
 
 from __future__ import annotations
@@ -27,8 +27,9 @@
 from winchfork.router.state import RouterState
 from winchfork.router.store_sync import StoreSync
 
-#: Fields without which an entry names no replica, and values of other types than a field's own.
+#: Fields that a replica's entry must have.
 REQUIRED_FIELDS = ("Service", "Address", "Zone", "Slots", "State")
+#: Values of types other than those of the fields.
 MISTYPED_VALUES: tuple[object, ...] = (None, True, -1, 1.5, "", "?", [], {}, 10**30, {"Name": 1})
 UNREADABLE = (
     b"",
@@ -45,24 +46,24 @@
 
 
 def foreign_value(generator: random.Random) -> bytes:
-    """Return an entry that names no replica."""
+    """Return an entry that is not a valid replica."""
     kind = generator.randrange(4)
     if kind == 0:
         return generator.choice(UNREADABLE)
     if kind == 1:
-        left_out = generator.choice(REQUIRED_FIELDS)
-        return json.dumps({name: REPLICA[name] for name in REPLICA if name != left_out}).encode()
+        omitted = generator.choice(REQUIRED_FIELDS)
+        return json.dumps({name: REPLICA[name] for name in REPLICA if name != omitted}).encode()
     if kind == 2:
         field = generator.choice((*REQUIRED_FIELDS, "Models", "Version", "Sequence", "born"))
-        fitting: dict[str, tuple[object, ...]] = {
+        valid_values: dict[str, tuple[object, ...]] = {
             "Slots": (),
             "Models": ([],),
             "Version": ("", "?"),
             "Zone": ("?",),
         }
-        fits = (*fitting.get(field, ()), *(("?",) if field == "Service" else ()))
-        strange = [value for value in MISTYPED_VALUES if value not in fits or value is True]
-        return json.dumps({**REPLICA, field: generator.choice(strange)}).encode()
+        valid = (*valid_values.get(field, ()), *(("?",) if field == "Service" else ()))
+        invalid = [value for value in MISTYPED_VALUES if value not in valid or value is True]
+        return json.dumps({**REPLICA, field: generator.choice(invalid)}).encode()
     changes: dict[str, object] = generator.choice(
         [
             {"State": "zombie"},
@@ -78,7 +79,7 @@
 
 
 class EntryFuzz:
-    """One daemon that follows a store to which two writers write."""
+    """One daemon that follows a store with valid and invalid entries."""
 
     def __init__(self, seed: int) -> None:
         self.generator = random.Random(seed)
@@ -94,7 +95,7 @@
         )
 
     async def run(self) -> None:
-        """Write for a while; raises AssertionError where the oracle does not agree."""
+        """Write entries for a while, then check; raises AssertionError on a difference."""
         self.store.put("op/config", json.dumps(CONFIGURATION).encode())
         task = asyncio.create_task(self._sync.run())
         for _ in range(STEPS):
@@ -102,7 +103,7 @@
             await asyncio.sleep(self.generator.choice((0.0, 0.01, 0.3)))
         await asyncio.sleep(2.0)
         assert not task.done(), f"the daemon stopped following: {task.exception()!r}"
-        self._judge()
+        self._check()
         task.cancel()
 
     def _write(self) -> None:
@@ -137,7 +138,7 @@
         self.store.put(key, value)
         self.written[kind] += 1
 
-    def _judge(self) -> None:
+    def _check(self) -> None:
         seen = {
             replica.replica_id: replica.listing.slots
             for replica in self.state.fleet.replicas()
@@ -150,7 +151,7 @@
 
 
 def fuzz(seed: int) -> Counter[str]:
-    """Play one seed; return what was written by kind."""
+    """Run one seed; return the number of entries written, by kind."""
 
     async def main() -> Counter[str]:
         run = EntryFuzz(seed)
@@ -161,7 +162,7 @@
 
 
 def main() -> int:
-    """Fuzz until the time is up; 1 at the first violation."""
+    """Fuzz until the time is up; return 1 at the first violation."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--seed", type=int, default=1)
--- a/tests/memory_store.py
+++ b/tests/memory_store.py
@@ -1,4 +1,4 @@
-"""An in-memory key-value service behind the router's port, with leases, history and faults."""
+"""An in-memory key-value store for tests, with leases, history and injectable faults."""
 
 from __future__ import annotations
 
@@ -20,7 +20,11 @@
 
 
 class MemoryStore:
-    """Linearizable; ``down`` makes every call fail, ``lose_writes`` loses answers of writes."""
+    """A linearizable store.
+
+    ``down`` makes every call fail. The next ``write_answers_to_lose`` writes take effect, but their
+    answers are lost.
+    """
 
     def __init__(self) -> None:
         self.revision = 0
@@ -33,7 +37,7 @@
         self.lease_of: dict[str, int] = {}
         self.down = False
         self.write_answers_to_lose = 0
-        #: How long after a write has taken effect its answer comes.
+        #: Delay between the effect of a write and its answer.
         self.write_answer_delay_s = 0.0
         self.calls: list[str] = []
         self._changed = asyncio.Event()
@@ -42,7 +46,7 @@
     def at(self) -> StorePosition:
         return StorePosition(self.era, self.revision)
 
-    # Faults and operators
+    # Operators' writes and faults
 
     def put(self, key: str, value: bytes, lease_id: int = 0) -> int:
         self.revision += 1
@@ -64,7 +68,7 @@
         self._wake()
 
     def backup(self) -> dict[str, Any]:
-        """Return what the store holds now."""
+        """Return a copy of the store's state."""
         now_s = asyncio.get_running_loop().time()
         return {
             "revision": self.revision,
@@ -76,12 +80,12 @@
         }
 
     def restore(self, state: dict[str, Any]) -> None:
-        """Be as at an earlier moment, in a new era: revisions and leases are given out again."""
+        """Restore a backup in a new era: later revisions and lease ids are assigned again."""
         now_s = asyncio.get_running_loop().time()
-        kept = copy.deepcopy(state)
-        leases = kept.pop("leases")
+        restored = copy.deepcopy(state)
+        leases = restored.pop("leases")
         self.leases = {key: (now_s + left_s, ttl_s) for key, (left_s, ttl_s) in leases.items()}
-        vars(self).update(kept)
+        vars(self).update(restored)
         self.era += 1
         self._wake()
 
@@ -126,7 +130,7 @@
         while True:
             self.expire_leases()
             if not self.first_retained <= after_revision <= self.revision:
-                return FailureKind.HISTORY_LOST.because("forgotten, or of another era")
+                return FailureKind.HISTORY_LOST.because("revision is compacted or not in this era")
             found = [item for item in self.history if item.revision > after_revision]
             found = [item for item in found if item.key.startswith(prefix)]
             left_s = until_s - asyncio.get_running_loop().time()
--- a/tests/rollout_behaviours.py
+++ b/tests/rollout_behaviours.py
@@ -1,4 +1,4 @@
-"""Versions of software that are bad in some way, and waits for the steps of a rollout."""
+"""Bad software versions, and helpers that wait for the phases of a rollout."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 from winchfork.core.software_state import SoftwarePhase
 
-#: What a bad version does to the part of its answers that it spoils.
+#: Turns an answer into a bad one.
 Degrade = Callable[[Answer], Answer]
 
 
@@ -32,7 +32,7 @@
 def bad_version(
     degrade: Degrade, matches: Callable[[Request], bool] = lambda request: True, share: float = 0.35
 ) -> Behaviour:
-    """Return a v2 that spoils a share of its answers whenever ``when`` says so."""
+    """Return a behaviour in which v2 degrades a share of its answers to requests that match."""
 
     def behaviour(request: Request, generator: random.Random) -> Answer:
         answer = healthy(request, generator)
@@ -52,4 +52,4 @@
         if condition():
             return
         await asyncio.sleep(0.05)
-    raise AssertionError("it never came about")
+    raise AssertionError("the condition did not become true in time")
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -1,7 +1,7 @@
-"""Daemons that move a service to another version of its software, before one store. Virtual time.
+"""A fleet of daemons for tests of software rollouts, on one in-memory store and in virtual time.
 
-The peers, the records, the leader's duty and the choice of versions are the real ones. Requests are
-given to replicas without connections: a replica is a rule that says how it answers.
+Peer messages, records, the leader's task and the choice of versions are the real implementations.
+Requests use no connections: a :data:`Behaviour` decides how a replica answers.
 """
 
 from __future__ import annotations
@@ -27,8 +27,9 @@
 
 SERVICE = "s"
 ROUTES = ("verdict", "read")
-#: Requests a second at each daemon, and seconds between two of them.
+#: Requests per second at each daemon.
 RATE_PER_S = 20.0
+#: Duration of a normal answer.
 ANSWER_S = 0.05
 LIMITS = ExposureLimits(share=0.1, slack=50.0, rollback_s=5.0)
 DURATION_S = 12.0
@@ -36,7 +37,10 @@
 
 
 class Request(msgspec.Struct, frozen=True):
-    """One request as a replica sees it; ``at_s`` from the order, ``running`` beside it there."""
+    """A request to a replica.
+
+    ``at_s`` is the time since the order; ``running`` counts the other requests on the replica.
+    """
 
     at_s: float
     route: str
@@ -46,7 +50,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """How a replica answers."""
+    """The outcome and the duration of an answer."""
 
     failed: bool = False
     took_s: float = ANSWER_S
@@ -56,12 +60,12 @@
 
 
 def healthy(request: Request, generator: random.Random) -> Answer:
-    """Answer as the old version does: a seventh of one route's requests fails at any replica."""
+    """Answer as the old version does: 14 % of the requests on the route "read" fail."""
     return Answer(failed=request.route == "read" and generator.random() < 0.14)
 
 
 class RolloutFleet:
-    """Some daemons, replicas of versions v1 and v2, and callers."""
+    """Daemons, replicas of versions v1 and v2, and callers."""
 
     def __init__(self, daemons: int = 6, replicas: int = 6, rate_per_s: float = RATE_PER_S) -> None:
         self.rate_per_s = rate_per_s
@@ -72,11 +76,12 @@
         self.generator = random.Random(7)
         self.ordered_s = 0.0
         self.requests: Counter[str] = Counter()
-        #: Requests since the order, and when the target was last given one.
+        #: Requests since the order, by software version.
         self.requests_since_order: Counter[str] = Counter()
         self.bad_answers = 0
+        #: When each version last got a request, in seconds since the order.
         self.last_request_s: dict[str, float] = {}
-        #: Requests under way at each replica, for all daemons.
+        #: Running requests of all daemons, by replica id.
         self.under_way: Counter[str] = Counter()
         self.replicas = replicas
         self.daemons: list[Daemon] = []
@@ -200,14 +205,14 @@
             expected_s=1.0,
         )
 
-    # What was spent
+    # Outcomes
 
     async def wait_until_finished(self, max_wait_s: float = 2 * DURATION_S) -> float:
-        """Wait until the order is carried out or given up; return how long after it that was."""
+        """Wait until the rollout is completed or rolled back; return the time since the order."""
         until_s = self.now_s() + max_wait_s
         while self.status()[0] in ("", "running"):
             if self.now_s() > until_s:
-                raise AssertionError(f"the order stands at {self.status()}, {self.record()}")
+                raise AssertionError(f"rollout not finished: {self.status()}, {self.record()}")
             await asyncio.sleep(0.05)
         return self.now_s() - self.ordered_s
 
@@ -215,9 +220,9 @@
         await asyncio.sleep(max(0.0, self.ordered_s + DURATION_S - self.now_s()))
 
     def budget_left(self, target: str = "v2") -> float:
-        """Return how many requests fewer the target has got than a bad version may."""
-        everything = self.requests_since_order.total() - self.requests_since_order["refused"]
-        return LIMITS.share * everything + LIMITS.slack - self.requests_since_order[target]
+        """Return how many more requests the target may get within the exposure limits."""
+        served = self.requests_since_order.total() - self.requests_since_order["refused"]
+        return LIMITS.share * served + LIMITS.slack - self.requests_since_order[target]
 
 
 def run_in_rollout_fleet(
--- a/tests/store_restore_fleet.py
+++ b/tests/store_restore_fleet.py
@@ -1,4 +1,4 @@
-"""Daemons whose store comes back from a copy, for scenarios in virtual time."""
+"""A fleet of daemons whose store is restored from a backup, for scenarios in virtual time."""
 
 from __future__ import annotations
 
@@ -16,18 +16,17 @@
 
 MODEL = "m"
 ZONES = ("z1", "z2", "z3")
-#: How old the copy is, and how long the store is away.
 BACKUP_AGE_S = 4.0
 OUTAGE_S = 1.0
-#: Changes of no meaning before the store goes away, which keep its revisions lower afterwards.
+#: Irrelevant changes after the backup, so that the restored store's revisions are lower.
 LOST_CHANGES = 40
 STABILIZATION_S = 12.0
-#: A change is known to all daemons within this time.
+#: Limit of the time until all daemons know a change.
 MAX_PROPAGATION_S = 1.0
 
 
 class StoreRestoreFleet:
-    """Daemons before one store that names its era."""
+    """Daemons that follow one store, whose answers name its era."""
 
     def __init__(self, count: int) -> None:
         self.network = Network()
@@ -43,7 +42,7 @@
         ]
         for daemon in self.daemons:
             daemon.follow()
-        self._sweeping = asyncio.create_task(self._sweep())
+        self._sweep_task = asyncio.create_task(self._sweep())
 
     async def _sweep(self) -> None:
         while True:
@@ -73,30 +72,33 @@
         return int(time.time() * 1000)
 
     def change(self, times: int) -> None:
-        """Change an entry that nobody reads."""
+        """Write an entry that no daemon uses, ``times`` times."""
         for number in range(times):
             self.store.put("operators/note", str(number).encode())
 
     async def lose_recent_writes(
         self, meanwhile: Callable[[], None] = lambda: None, changes: int = LOST_CHANGES
     ) -> None:
-        """Have the store come back without what it took in the last seconds."""
-        copy = self.store.backup()
+        """Restore the store from a backup, which loses the writes of the last seconds.
+
+        ``meanwhile`` is called halfway between the backup and the outage.
+        """
+        backup = self.store.backup()
         await asyncio.sleep(BACKUP_AGE_S / 2)
         self.change(changes)
         meanwhile()
         await asyncio.sleep(BACKUP_AGE_S / 2)
-        await self.restore(copy)
+        await self.restore(backup)
 
     async def restore(self, backup: dict[str, Any], outage_s: float = OUTAGE_S) -> None:
-        """Have the store be away and come back from a copy."""
+        """Make the store unavailable for a while, then restore it from a backup."""
         self.store.down = True
         await asyncio.sleep(outage_s)
         self.store.restore(backup)
         self.store.down = False
 
     async def uninformed_after(self, knows: Callable[[Daemon], bool], within_s: float) -> list[str]:
-        """Return the daemons that do not know something within a time."""
+        """Return the ids of the daemons for which ``knows`` is still false after ``within_s``."""
         loop = asyncio.get_running_loop()
         until_s = loop.time() + within_s
         while loop.time() < until_s:
@@ -106,14 +108,14 @@
         return [daemon.state.settings.node_id for daemon in self.daemons if not knows(daemon)]
 
     def leading(self) -> Iterator[Daemon]:
-        """Return the daemons that may give orders now."""
+        """Return the daemons that may give orders as leader now."""
         return (daemon for daemon in self.daemons if daemon.leadership.may_act())
 
 
 def run_in_store_restore_fleet(
     count: int, scenario: Callable[[StoreRestoreFleet], Awaitable[Any]]
 ) -> None:
-    """Play a scenario with daemons that have settled."""
+    """Run a scenario with a fleet that has run for ``STABILIZATION_S``."""
 
     async def main() -> None:
         fleet = StoreRestoreFleet(count)
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -1,9 +1,4 @@
-"""Entries that another writer left in the store: they name no replica, and the others hold.
-
-An entry without a state counted as ready, one with an address of any form was sent requests, one
-that could no longer be read left its replica in use, and a leader's entry that was no text ended
-the task that follows the store, over and over.
-"""
+"""Invalid store entries: they are not used as replicas, and do not affect valid entries."""
 
 from __future__ import annotations
 
@@ -20,39 +15,39 @@
 from winchfork.router.leader_entry import LEADER_KEY
 from winchfork.stores.async_key_value import StoreItem
 
-#: 1026 once showed a replica without a zone as one to use.
+#: 1026 covers a replica's entry without a zone.
 SEEDS = (*range(1, 25), 1026)
 
 
 def read(entry: object) -> object:
-    """Return what an entry of a replica is taken for."""
+    """Return the document that a replica's entry decodes to."""
     return PlatformDocumentCodec().read(StoreItem("servers/i-1", json.dumps(entry).encode(), 1))
 
 
 class ReplicaEntryTest(unittest.TestCase):
-    def test_a_whole_entry_is_a_replica(self) -> None:
+    def test_a_complete_entry_is_a_replica(self) -> None:
         self.assertIsInstance(read(REPLICA), ReplicaListing)
 
-    def test_a_field_that_is_missing_or_of_another_type_names_no_replica(self) -> None:
+    def test_an_entry_with_a_missing_or_mistyped_field_is_rejected(self) -> None:
         for name in REQUIRED_FIELDS:
             without = {field: value for field, value in REPLICA.items() if field != name}
             self.assertIsInstance(read(without), UnreadableReplica, name)
             self.assertIsInstance(read({**REPLICA, name: [1]}), UnreadableReplica, name)
 
-    def test_a_start_that_is_no_whole_number_names_no_replica(self) -> None:
+    def test_an_entry_with_an_invalid_start_time_is_rejected(self) -> None:
         for born in ("1", 1.5, -1, None, True, 10**30):
             self.assertIsInstance(read({**REPLICA, "born": born}), UnreadableReplica, born)
 
-    def test_a_state_without_a_name_here_names_no_replica(self) -> None:
+    def test_an_entry_with_an_unknown_state_is_rejected(self) -> None:
         self.assertIsInstance(read({**REPLICA, "State": "zombie"}), UnreadableReplica)
 
-    def test_only_an_ip_number_and_a_port_are_an_address(self) -> None:
+    def test_an_address_must_be_an_ip_address_and_a_port(self) -> None:
         for address in ("", "x", "10.0.0.1", "10.0.0.1:0x50", "10.0.0.1:99999", "a.example:80"):
             self.assertIsInstance(read({**REPLICA, "Address": address}), UnreadableReplica)
 
 
 class FollowedEntryTest(unittest.TestCase):
-    def test_a_replica_whose_entry_cannot_be_read_any_more_is_not_used(self) -> None:
+    def test_a_replica_whose_entry_becomes_unreadable_is_removed(self) -> None:
         async def scenario(followed: Followed) -> None:
             for value in UNREADABLE:
                 followed.put_replica("i-1")
@@ -64,7 +59,7 @@
 
         follow(scenario)
 
-    def test_a_leaders_entry_that_is_no_text_ends_nothing(self) -> None:
+    def test_a_leaders_entry_that_is_not_utf8_does_not_stop_the_sync(self) -> None:
         async def scenario(followed: Followed) -> None:
             followed.store.put(LEADER_KEY, b"\xff\xfe")
             followed.put_replica("i-3")
@@ -74,7 +69,7 @@
 
         follow(scenario)
 
-    def test_what_is_refused_is_counted_and_logged_a_bounded_number_of_times(self) -> None:
+    def test_refused_entries_are_counted_and_logged_with_a_rate_limit(self) -> None:
         async def scenario(followed: Followed) -> None:
             lines: list[str] = []
             configure_logs("info", lines.append)
@@ -91,7 +86,7 @@
 
 
 class FuzzTest(unittest.TestCase):
-    def test_good_entries_are_seen_and_nothing_else_is(self) -> None:
+    def test_only_valid_entries_are_used(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 fuzz(seed)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -1,4 +1,7 @@
-"""At most one leader acts, its fence rises, and turns are a lease bound apart. Virtual time."""
+"""At most one leader acts, fences rise, and successive leaders act a lease bound apart.
+
+Runs in virtual time.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 
 
 class Candidate:
-    """A leadership with a watch of its own, as StoreSync feeds it."""
+    """A Leadership that is fed from a watch of the store, as StoreSync does."""
 
     def __init__(self, store: MemoryStore, name: str) -> None:
         self.store = store
@@ -60,7 +63,7 @@
 
 
 def answer_the_first_write_late(store: MemoryStore) -> None:
-    """Carry the first write out at once, and say so when the lease of 2 s has run out."""
+    """Make the first write take effect at once, but answer after its lease of 2 s has expired."""
     real = store.transact
 
     async def answered_late(
@@ -74,7 +77,7 @@
     store.transact = answered_late  # type: ignore[method-assign]
 
 
-async def _settle(seconds: float) -> None:
+async def _run_for(seconds: float) -> None:
     await asyncio.sleep(seconds)
 
 
@@ -83,92 +86,86 @@
 
 
 class LeadershipTest(unittest.TestCase):
-    def test_one_acts_and_its_successor_waits_out_the_bound(self) -> None:
+    def test_one_leader_acts_and_its_successor_waits_for_the_lease_bound(self) -> None:
         async def scenario() -> None:
             store = MemoryStore()
             candidates = [Candidate(store, f"n{number}") for number in range(5)]
-            await _settle(6.0)
+            await _run_for(6.0)
             first = _acting(candidates)
             self.assertEqual(len(first), 1)
             fence = first[0].leadership.fence
             loop = asyncio.get_running_loop()
-            last_act_s = loop.time()
+            killed_s = loop.time()
             first[0].kill()
             rest = [candidate for candidate in candidates if candidate is not first[0]]
             while not _acting(rest):
                 await asyncio.sleep(0.02)
-            self.assertGreaterEqual(loop.time() - last_act_s, LEASE_BOUND_S)
-            self.assertLessEqual(loop.time() - last_act_s, 5.5)
+            self.assertGreaterEqual(loop.time() - killed_s, LEASE_BOUND_S)
+            self.assertLessEqual(loop.time() - killed_s, 5.5)
             self.assertEqual(len(_acting(rest)), 1)
             self.assertGreater(_acting(rest)[0].leadership.fence, fence)
 
         run_virtually(scenario())
 
-    def test_a_leader_without_the_store_stops_before_its_lease_can_end(self) -> None:
+    def test_a_leader_without_the_store_stops_before_its_lease_can_expire(self) -> None:
         async def scenario() -> None:
             store = MemoryStore()
             candidate = Candidate(store, "n1")
-            await _settle(6.0)
+            await _run_for(6.0)
             self.assertTrue(candidate.leadership.may_act())
             store.down = True
-            await _settle(VALIDITY_S + 0.01)
+            await _run_for(VALIDITY_S + 0.01)
             self.assertFalse(candidate.leadership.may_act())
             store.down = False
-            await _settle(6.0)
+            await _run_for(6.0)
             self.assertTrue(candidate.leadership.may_act())
 
         run_virtually(scenario())
 
-    def test_a_frozen_leader_does_not_act_when_it_wakes(self) -> None:
+    def test_a_stalled_leader_does_not_act_when_it_resumes(self) -> None:
         async def scenario() -> None:
             store = MemoryStore()
             candidates = [Candidate(store, f"n{number}") for number in range(3)]
-            await _settle(6.0)
-            frozen = _acting(candidates)[0]
-            fence = frozen.leadership.fence
-            for task in frozen.tasks:
+            await _run_for(6.0)
+            stalled = _acting(candidates)[0]
+            fence = stalled.leadership.fence
+            for task in stalled.tasks:
                 task.cancel()
-            await _settle(VALIDITY_S)
-            self.assertEqual(frozen.leadership.fence, fence)
-            self.assertFalse(frozen.leadership.may_act())
+            await _run_for(VALIDITY_S)
+            self.assertEqual(stalled.leadership.fence, fence)
+            self.assertFalse(stalled.leadership.may_act())
 
         run_virtually(scenario())
 
-    def test_a_lost_answer_leaves_no_unknown_holder(self) -> None:
+    def test_a_lost_answer_to_the_first_write_does_not_prevent_a_leader(self) -> None:
         async def scenario() -> None:
             store = MemoryStore()
             store.write_answers_to_lose = 1
             candidates = [Candidate(store, f"n{number}") for number in range(3)]
-            await _settle(0.8)
+            await _run_for(0.8)
             self.assertEqual([item.leadership.fence for item in candidates], [0, 0, 0])
-            await _settle(8.0)
+            await _run_for(8.0)
             self.assertEqual(len(_acting(candidates)), 1)
 
         run_virtually(scenario())
 
-    def test_an_entry_that_lapsed_before_its_answer_came_leaves_the_place_vacant(self) -> None:
-        """The store took a lone daemon for the leader, and its answer came 4 s late.
-
-        By then the lease of 2 s had run out, and the watch had told that the entry was gone. The
-        answer, which is older, was taken to say that the place is filled: the daemon found that its
-        lease had ended, and never campaigned again. 26 s later there was no leader.
-        """
+    def test_an_entry_that_expired_before_its_answer_counts_as_removed(self) -> None:
+        """Guards against a late answer that overrides the removal, so that nobody campaigns."""
 
         async def scenario() -> None:
             store = MemoryStore()
             answer_the_first_write_late(store)
             candidate = Candidate(store, "n1")
-            await _settle(30.0)
+            await _run_for(30.0)
             self.assertGreater(candidate.leadership.fence, 1)
             self.assertTrue(candidate.leadership.may_act())
 
         run_virtually(scenario())
 
-    def test_a_late_answer_does_not_hide_the_holder_that_came_meanwhile(self) -> None:
-        """The same where another daemon had become the leader before the late answer came.
+    def test_a_late_answer_does_not_hide_a_leader_that_came_meanwhile(self) -> None:
+        """Guards against a daemon that takes itself for the leader after a late answer.
 
-        The late one took itself for the newest holder, so it did not hear the resignation of the
-        real one: it acted only 2.55 s later, for the sake of orders that were 6.87 s old already.
+        It would ignore the actual leader's resignation, and wait too long before it acts.
         """
 
         async def scenario() -> None:
@@ -177,18 +174,18 @@
             answer_the_first_write_late(store)
             late = Candidate(store, "n1")
             while LEADER_KEY not in store.items:
-                await _settle(0.01)
-            holder = Candidate(store, "n2")
-            await _settle(8.0)
-            self.assertTrue(holder.leadership.may_act())
+                await _run_for(0.01)
+            leader = Candidate(store, "n2")
+            await _run_for(8.0)
+            self.assertTrue(leader.leadership.may_act())
             self.assertEqual(late.leadership.fence, 0)
-            holder.leadership.withdraw()
-            told = await holder.leadership.resign()
-            assert told is not None
-            late.leadership.handle_resignation(told)
+            leader.leadership.withdraw()
+            resignation = await leader.leadership.resign()
+            assert resignation is not None
+            late.leadership.handle_resignation(resignation)
             resigned_s = loop.time()
             while not late.leadership.may_act():
-                await _settle(0.01)
+                await _run_for(0.01)
             self.assertLess(loop.time() - resigned_s, 1.0)
 
         run_virtually(scenario())
@@ -197,11 +194,11 @@
         async def scenario() -> None:
             store = MemoryStore()
             candidates = [Candidate(store, f"n{number}") for number in range(3)]
-            await _settle(10.0)
+            await _run_for(10.0)
             leader = _acting(candidates)[0]
             rest = [candidate for candidate in candidates if candidate is not leader]
             leader.leadership.record_order()
-            await _settle(2.0)
+            await _run_for(2.0)
             resignation = await leader.leadership.resign()
             assert resignation is not None
             self.assertGreaterEqual(resignation.last_order_ms, 2000)
@@ -217,35 +214,35 @@
 
         run_virtually(scenario())
 
-    def test_a_resignation_before_any_order_still_speaks_for_the_holder_before(self) -> None:
-        """inc-fec5 (amse-vigie): the third holder could act 3.09 s after the first one's order.
+    def test_a_resignation_before_any_order_reports_the_predecessors_last_order(self) -> None:
+        """Guards against a third leader that acts too early after the first one's order.
 
-        The second had resigned before its own turn came, saying that it had given no order.
+        The second leader resigns before it may act, without an order of its own.
         """
 
         async def scenario() -> None:
             store = MemoryStore()
             loop = asyncio.get_running_loop()
             first = Candidate(store, "n1")
-            await _settle(6.0)
+            await _run_for(6.0)
             self.assertTrue(first.leadership.may_act())
             second, third = Candidate(store, "n2"), Candidate(store, "n3")
             first.leadership.record_order()
             ordered_s = loop.time()
-            told = await first.leadership.resign()
+            resignation = await first.leadership.resign()
             first.kill()
-            assert told is not None
-            second.leadership.handle_resignation(told)
-            third.leadership.handle_resignation(told)
+            assert resignation is not None
+            second.leadership.handle_resignation(resignation)
+            third.leadership.handle_resignation(resignation)
             while not (second.leadership.fence or third.leadership.fence):
-                await _settle(0.01)
-            holder, last = (second, third) if second.leadership.fence else (third, second)
-            told = await holder.leadership.resign()
-            holder.kill()
-            assert told is not None
-            last.leadership.handle_resignation(told)
+                await _run_for(0.01)
+            leader, last = (second, third) if second.leadership.fence else (third, second)
+            resignation = await leader.leadership.resign()
+            leader.kill()
+            assert resignation is not None
+            last.leadership.handle_resignation(resignation)
             while not last.leadership.may_act():
-                await _settle(0.01)
+                await _run_for(0.01)
             self.assertGreaterEqual(loop.time() - ordered_s, LEASE_BOUND_S)
 
         run_virtually(scenario())
@@ -254,13 +251,13 @@
         async def scenario() -> None:
             store = MemoryStore()
             candidates = [Candidate(store, f"n{number}") for number in range(2)]
-            await _settle(6.0)
+            await _run_for(6.0)
             leader = _acting(candidates)[0]
             other = next(candidate for candidate in candidates if candidate is not leader)
             other.leadership.withdraw()
             await leader.leadership.resign()
             leader.leadership.withdraw()
-            await _settle(8.0)
+            await _run_for(8.0)
             self.assertEqual(other.leadership.fence, 0)
             self.assertNotIn(LEADER_KEY, store.items)
 
--- a/tests/test_restored_entries.py
+++ b/tests/test_restored_entries.py
@@ -1,4 +1,4 @@
-"""What a copy of the store brings back is not believed against what is known to be later."""
+"""Outdated entries of a store that was restored from a backup do not replace later state."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 DIGEST = bytes(range(DIGEST_BYTES))
 
 
-async def come_back(fleet: StoreRestoreFleet, copy: dict[str, Any]) -> None:
-    """Have the store come back from a copy after a moment."""
+async def restore_later(fleet: StoreRestoreFleet, backup: dict[str, Any]) -> None:
+    """Restore the store from a backup ``BACKUP_AGE_S`` from now, after some other changes."""
     fleet.change(30)
     await asyncio.sleep(BACKUP_AGE_S)
-    await fleet.restore(copy)
+    await fleet.restore(backup)
 
 
 class RestoredReplicasTest(unittest.TestCase):
@@ -37,13 +37,13 @@
             if replica.listing.accepting
         }
 
-    def test_a_replica_that_has_said_it_leaves_is_not_ready_again(self) -> None:
-        """The copy held its entry of before; the leaving was written again 1.5 s later."""
+    def test_a_draining_replica_does_not_become_ready_again(self) -> None:
+        """The backup contains its entry from before it began to drain."""
 
         async def scenario(fleet: StoreRestoreFleet) -> None:
-            copy = fleet.store.backup()
+            backup = fleet.store.backup()
             fleet.list_replica("i-1", State="draining", Sequence=7)
-            await come_back(fleet, copy)
+            await restore_later(fleet, backup)
             ready = []
             for _ in range(300):
                 await asyncio.sleep(0.01)
@@ -52,11 +52,11 @@
 
         run_in_store_restore_fleet(DAEMONS, scenario)
 
-    def test_a_replica_that_has_gone_is_not_listed_again_at_once(self) -> None:
+    def test_a_removed_replica_is_not_listed_again_at_once(self) -> None:
         async def scenario(fleet: StoreRestoreFleet) -> None:
-            copy = fleet.store.backup()
+            backup = fleet.store.backup()
             fleet.store.remove("servers/i-1")
-            await come_back(fleet, copy)
+            await restore_later(fleet, backup)
             await asyncio.sleep(HELD_BACK_S - 1.0)
             self.assertEqual(self._accepting(fleet), {"i-2"})
             fleet.store.remove("servers/i-1")
@@ -65,21 +65,21 @@
 
         run_in_store_restore_fleet(DAEMONS, scenario)
 
-    def test_one_that_lives_after_all_is_listed_again(self) -> None:
+    def test_a_removed_replica_whose_entry_does_not_expire_is_listed_again(self) -> None:
         async def scenario(fleet: StoreRestoreFleet) -> None:
-            copy = fleet.store.backup()
+            backup = fleet.store.backup()
             fleet.store.remove("servers/i-1")
-            await come_back(fleet, copy)
+            await restore_later(fleet, backup)
             await asyncio.sleep(HELD_BACK_S + 2.0)
             self.assertEqual(self._accepting(fleet), {"i-1", "i-2"})
 
         run_in_store_restore_fleet(DAEMONS, scenario)
 
-    def test_what_is_written_after_the_return_is_believed_at_once(self) -> None:
+    def test_an_entry_that_is_written_after_the_restore_is_applied_at_once(self) -> None:
         async def scenario(fleet: StoreRestoreFleet) -> None:
-            copy = fleet.store.backup()
+            backup = fleet.store.backup()
             fleet.store.remove("servers/i-1")
-            await come_back(fleet, copy)
+            await restore_later(fleet, backup)
             await asyncio.sleep(1.0)
             fleet.list_replica("i-1", Sequence=9)
             await asyncio.sleep(0.5)
@@ -87,11 +87,11 @@
 
         run_in_store_restore_fleet(DAEMONS, scenario)
 
-    def test_a_later_incarnation_is_believed_at_once(self) -> None:
+    def test_a_later_incarnation_is_listed_at_once(self) -> None:
         async def scenario(fleet: StoreRestoreFleet) -> None:
-            copy = fleet.store.backup()
+            backup = fleet.store.backup()
             fleet.store.remove("servers/i-1")
-            await come_back(fleet, copy)
+            await restore_later(fleet, backup)
             fleet.list_replica("i-1", born=5_000)
             await asyncio.sleep(1.5)
             self.assertEqual(self._accepting(fleet), {"i-1", "i-2"})
@@ -100,7 +100,7 @@
 
 
 class RestoredRefusalsTest(unittest.TestCase):
-    """A request that ends replicas was free to run once more after the store's return."""
+    """Guards against a refused request that may run again because the backup is older."""
 
     def _play(self, before: RefusalRecord | None) -> None:
         async def scenario(fleet: StoreRestoreFleet) -> None:
@@ -109,10 +109,10 @@
             if before is not None:
                 fleet.store.put(key, json.dumps(_plain(before)).encode())
                 await asyncio.sleep(0.5)
-            copy = fleet.store.backup()
+            backup = fleet.store.backup()
             now_ms = fleet.now_ms()
             fleet.store.put(key, json.dumps(_plain(RefusalRecord(DIGEST, now_ms, 2))).encode())
-            await come_back(fleet, copy)
+            await restore_later(fleet, backup)
             await asyncio.sleep(1.0 + OTHERS_DELAY_S + 1.0)
             refused = [daemon.state.crashes.refusal(DIGEST) is not None for daemon in fleet.daemons]
             self.assertEqual(refused, [True] * DAEMONS)
@@ -125,10 +125,10 @@
 
         run_in_store_restore_fleet(DAEMONS, scenario)
 
-    def test_a_refused_request_stays_refused_where_the_copy_knows_nothing_of_it(self) -> None:
+    def test_a_refused_request_stays_refused_if_the_backup_has_no_record_of_it(self) -> None:
         self._play(None)
 
-    def test_a_refused_request_stays_refused_where_the_copy_says_that_it_may_run(self) -> None:
+    def test_a_refused_request_stays_refused_if_the_backup_has_it_released(self) -> None:
         self._play(RefusalRecord(DIGEST, 1_000, 0))
 
 
@@ -144,7 +144,7 @@
 
 
 class RestoredRolloutsTest(unittest.TestCase):
-    """A rollout of software whose record the copy holds as it was earlier, or not at all."""
+    """Software rollouts whose record or order is missing or outdated in the backup."""
 
     def _order(self, fleet: StoreRestoreFleet, target: str) -> int:
         return fleet.order_software("huvo11a", target, 30.0)
@@ -156,16 +156,16 @@
     def _play(self, scenario: Callable[[StoreRestoreFleet], Any]) -> None:
         run_in_store_restore_fleet(DAEMONS, scenario)
 
-    def test_a_later_record_is_kept_and_its_revision_is_the_copys(self) -> None:
+    def test_a_later_record_is_kept_with_the_revision_of_the_restored_one(self) -> None:
         async def scenario(fleet: StoreRestoreFleet) -> None:
             order = self._order(fleet, "v2")
             record = trial_of(order)
             fleet.store.put(software_record_key("huvo11a"), encode_record(record))
             await asyncio.sleep(0.5)
-            copy = fleet.store.backup()
+            backup = fleet.store.backup()
             later = record.advanced(SoftwarePhase.MOVING, 0.2, 3.0)
             fleet.store.put(software_record_key("huvo11a"), encode_record(later))
-            await come_back(fleet, copy)
+            await restore_later(fleet, backup)
             await asyncio.sleep(1.0)
             self.assertEqual(self._states(fleet), {("moving", "v2")})
             revision = fleet.store.items[software_record_key("huvo11a")].revision
@@ -175,33 +175,34 @@
 
         self._play(scenario)
 
-    def test_an_order_that_is_written_again_is_no_new_one(self) -> None:
+    def test_an_order_that_is_written_again_is_the_same_order(self) -> None:
         async def scenario(fleet: StoreRestoreFleet) -> None:
-            copy = fleet.store.backup()
-            given = self._order(fleet, "v2")
-            await come_back(fleet, copy)
+            backup = fleet.store.backup()
+            former_number = self._order(fleet, "v2")
+            await restore_later(fleet, backup)
             fleet.change(3)
             number = self._order(fleet, "v2")
             await asyncio.sleep(1.0)
             known = {daemon.state.software.orders["huvo11a"] for daemon in fleet.daemons}
             self.assertEqual(known, {SoftwareOrder("huvo11a", "v2", 30.0, number)})
-            called = {
-                d.state.software.current_order_number("huvo11a", given) for d in fleet.daemons
+            numbers = {
+                item.state.software.current_order_number("huvo11a", former_number)
+                for item in fleet.daemons
             }
-            self.assertEqual(called, {number})
+            self.assertEqual(numbers, {number})
 
         self._play(scenario)
 
-    def test_a_daemon_that_started_since_calls_an_order_as_the_others_do(self) -> None:
-        """One that had started since led, and the others took its order for an earlier one."""
+    def test_a_daemon_that_started_after_the_restore_numbers_orders_like_the_others(self) -> None:
+        """Guards against daemons that take the record of such a leader for an earlier order's."""
 
         async def scenario(fleet: StoreRestoreFleet) -> None:
-            copy = fleet.store.backup()
+            backup = fleet.store.backup()
             fleet.change(10)
-            given = self._order(fleet, "v2")
-            record = trial_of(given)
+            former_number = self._order(fleet, "v2")
+            record = trial_of(former_number)
             fleet.store.put(software_record_key("huvo11a"), encode_record(record))
-            await come_back(fleet, copy)
+            await restore_later(fleet, backup)
             number = self._order(fleet, "v2")
             await asyncio.sleep(1.5)
             fresh = trial_of(number, share=0.1, elapsed_s=2.0)
@@ -213,29 +214,29 @@
 
         self._play(scenario)
 
-    def test_an_order_of_before_does_not_take_the_place_of_a_later_one(self) -> None:
+    def test_an_earlier_order_in_the_backup_does_not_replace_a_later_one(self) -> None:
         async def scenario(fleet: StoreRestoreFleet) -> None:
             self._order(fleet, "v1")
             await asyncio.sleep(0.5)
-            copy = fleet.store.backup()
+            backup = fleet.store.backup()
             self._order(fleet, "v2")
-            await come_back(fleet, copy)
+            await restore_later(fleet, backup)
             await asyncio.sleep(1.0)
             targets = {daemon.state.software.orders["huvo11a"].target for daemon in fleet.daemons}
             self.assertEqual(targets, {"v2"})
 
         self._play(scenario)
 
-    def test_a_new_order_after_the_return_is_taken_though_its_revision_is_lower(self) -> None:
+    def test_a_new_order_after_the_restore_is_accepted_though_its_revision_is_lower(self) -> None:
         async def scenario(fleet: StoreRestoreFleet) -> None:
-            copy = fleet.store.backup()
+            backup = fleet.store.backup()
             fleet.change(10)
-            given = self._order(fleet, "v2")
-            record = trial_of(given)
+            former_number = self._order(fleet, "v2")
+            record = trial_of(former_number)
             fleet.store.put(software_record_key("huvo11a"), encode_record(record))
-            await come_back(fleet, copy)
+            await restore_later(fleet, backup)
             number = self._order(fleet, "v3")
-            self.assertLess(number, given)
+            self.assertLess(number, former_number)
             await asyncio.sleep(1.0)
             for daemon in fleet.daemons:
                 order = daemon.state.software.orders["huvo11a"]
--- a/tests/test_software_rollout.py
+++ b/tests/test_software_rollout.py
@@ -1,4 +1,4 @@
-"""Rollouts of a service's software: good and bad versions, orders of all kinds."""
+"""Software rollouts of good and bad versions, and all kinds of orders. Virtual time."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class GoodVersionTest(unittest.TestCase):
-    def test_it_is_completed_in_time_with_nothing_under_way_at_the_old_replicas(self) -> None:
+    def test_it_completes_in_time_once_the_old_replicas_are_idle(self) -> None:
         async def scenario(fleet: RolloutFleet) -> None:
             fleet.list_replicas("v2")
             fleet.order()
@@ -42,8 +42,8 @@
 
         run_in_rollout_fleet(scenario)
 
-    def test_replicas_that_are_bad_by_themselves_do_not_decide(self) -> None:
-        """One of six fails four in ten, as one of the old version does; another is slow."""
+    def test_a_single_bad_replica_of_each_version_does_not_cause_a_rollback(self) -> None:
+        """One of six replicas fails 40 % of its requests, in the old and in the new version."""
 
         def behaviour(request: Request, generator: random.Random) -> Answer:
             if request.replica in ("v2-0", "v1-0") and generator.random() < 0.4:
@@ -59,7 +59,7 @@
 
         run_in_rollout_fleet(scenario)
 
-    def test_a_time_in_which_everything_is_slow_does_not_decide(self) -> None:
+    def test_a_period_in_which_both_versions_are_slow_does_not_cause_a_rollback(self) -> None:
         def behaviour(request: Request, generator: random.Random) -> Answer:
             answer = healthy(request, generator)
             return slowed(answer) if 2.0 < request.at_s < 4.0 else answer
@@ -73,7 +73,7 @@
 
         run_in_rollout_fleet(scenario)
 
-    def test_a_fleet_with_hubs_completes_it_too(self) -> None:
+    def test_it_completes_in_a_fleet_with_hubs(self) -> None:
         async def scenario(fleet: RolloutFleet) -> None:
             fleet.list_replicas("v2")
             fleet.order()
@@ -84,8 +84,11 @@
 
 
 class BadVersionTest(unittest.TestCase):
-    def spent(self, behaviour: Behaviour, daemons: int = 6) -> float:
-        """Roll a bad version out; return when the target last got a request."""
+    def check_rollback(self, behaviour: Behaviour, daemons: int = 6) -> float:
+        """Roll out a bad version, and return when the target last got a request.
+
+        Checks that it is rolled back within the budget.
+        """
         last: list[float] = []
 
         async def scenario(fleet: RolloutFleet) -> None:
@@ -106,38 +109,36 @@
         return last[0]
 
     def test_failures_from_the_start(self) -> None:
-        self.assertLess(self.spent(bad_version(failing)), 0.5 * DURATION_S)
+        self.assertLess(self.check_rollback(bad_version(failing)), 0.5 * DURATION_S)
 
     def test_failures_from_the_start_in_a_fleet_with_hubs(self) -> None:
-        self.assertLess(self.spent(bad_version(failing), daemons=16), 0.5 * DURATION_S)
+        self.assertLess(self.check_rollback(bad_version(failing), daemons=16), 0.5 * DURATION_S)
 
     def test_slow_answers_from_the_start(self) -> None:
-        self.assertLess(self.spent(bad_version(slowed)), 0.5 * DURATION_S)
+        self.assertLess(self.check_rollback(bad_version(slowed)), 0.5 * DURATION_S)
 
-    def test_failures_on_the_route_where_a_seventh_fails_anyway(self) -> None:
-        self.spent(bad_version(failing, lambda request: request.route == "read", 0.45))
+    def test_failures_on_the_route_that_also_fails_in_the_old_version(self) -> None:
+        self.check_rollback(bad_version(failing, lambda request: request.route == "read", 0.45))
 
     def test_failures_that_begin_late_in_the_trial(self) -> None:
-        self.spent(bad_version(failing, lambda request: request.at_s > 0.4 * DURATION_S))
+        self.check_rollback(bad_version(failing, lambda request: request.at_s > 0.4 * DURATION_S))
 
-    def test_failures_that_begin_when_everything_has_moved(self) -> None:
-        self.spent(bad_version(failing, lambda request: request.at_s > 0.6 * DURATION_S))
+    def test_failures_that_begin_when_all_requests_have_moved(self) -> None:
+        self.check_rollback(bad_version(failing, lambda request: request.at_s > 0.6 * DURATION_S))
 
     def test_failures_under_load_only(self) -> None:
-        self.spent(bad_version(failing, lambda request: request.running >= 1, 0.6))
+        self.check_rollback(bad_version(failing, lambda request: request.running >= 1, 0.6))
 
 
 class UnapprovedMoveTest(unittest.TestCase):
-    """Moves of a service with few requests, whose answers could approve no version in time.
+    """Moves of a service with too few answers to approve a version in time.
 
-    Such a version moved because all that was expected until the time limit fitted into the budget,
-    and nobody looked at the budget again: before real sockets a slow version got 92 of 204 requests
-    where 70 were allowed, after more requests had come than in the two seconds before the move, and
-    with no leader from then on.
+    Such a version moves because the expected requests fit into the budget. Guards against moves
+    that exceed the budget when more requests arrive than expected.
     """
 
     def play(self, *, lose_leader: bool) -> None:
-        """Roll out a version that turns slow when all has moved, as six times the requests come."""
+        """Roll out a version that gets slow once all has moved, while the load rises sixfold."""
 
         async def scenario(fleet: RolloutFleet) -> None:
             has_moved = False
@@ -165,15 +166,15 @@
     def test_the_budget_holds_when_more_requests_come_than_expected(self) -> None:
         self.play(lose_leader=False)
 
-    def test_the_budget_holds_while_nobody_leads(self) -> None:
+    def test_the_budget_holds_when_the_leader_is_lost(self) -> None:
         self.play(lose_leader=True)
 
 
 class MarginsTest(unittest.TestCase):
-    """The outcomes that leave least room, over other draws of families, faults and callers."""
+    """Repeats the closest outcomes with other random seeds."""
 
     def play(self, behaviour: Behaviour, outcome: str) -> list[float]:
-        """Return what each play left of the budget."""
+        """Run four rollouts, check the outcome, and return what each left of the budget."""
         left: list[float] = []
 
         async def scenario(fleet: RolloutFleet) -> None:
@@ -193,8 +194,8 @@
     def test_good_versions(self) -> None:
         self.play(healthy, "completed")
 
-    def test_versions_that_turn_bad_when_everything_has_moved(self) -> None:
-        """With evidence told at each tick of 0.2 s one play in eight had 5 requests left of 194."""
+    def test_versions_that_turn_bad_when_all_requests_have_moved(self) -> None:
+        """Guards against evidence that is reported only periodically, which uses up the budget."""
         late = bad_version(failing, lambda request: request.at_s > 0.6 * DURATION_S)
         self.assertGreaterEqual(min(self.play(late, "rolled_back")), 20.0)
 
@@ -204,7 +205,7 @@
 
 
 class OrdersTest(unittest.TestCase):
-    def test_a_version_that_nobody_ordered_gets_nothing(self) -> None:
+    def test_a_version_without_an_order_gets_no_requests(self) -> None:
         async def scenario(fleet: RolloutFleet) -> None:
             fleet.list_replicas("v2", 2 * fleet.replicas)
             await asyncio.sleep(2.0)
@@ -214,7 +215,7 @@
 
         run_in_rollout_fleet(scenario)
 
-    def test_a_version_found_bad_is_not_tried_again(self) -> None:
+    def test_a_version_found_bad_is_not_rolled_out_again(self) -> None:
         async def scenario(fleet: RolloutFleet) -> None:
             fleet.behaviour = bad_version(failing)
             fleet.list_replicas("v2")
@@ -230,7 +231,7 @@
 
         run_in_rollout_fleet(scenario)
 
-    def test_the_old_version_ordered_again_ends_the_move(self) -> None:
+    def test_an_order_for_the_old_version_ends_the_move(self) -> None:
         async def scenario(fleet: RolloutFleet) -> None:
             fleet.list_replicas("v2")
             fleet.order()
@@ -244,7 +245,7 @@
 
         run_in_rollout_fleet(scenario)
 
-    def test_a_newer_target_takes_the_place_of_the_one_under_way(self) -> None:
+    def test_a_newer_target_replaces_the_current_one(self) -> None:
         async def scenario(fleet: RolloutFleet) -> None:
             fleet.list_replicas("v2")
             fleet.order()
@@ -261,7 +262,7 @@
 
         run_in_rollout_fleet(scenario)
 
-    def test_the_same_order_again_goes_on_where_it_is(self) -> None:
+    def test_a_repeated_order_does_not_restart_the_rollout(self) -> None:
         async def scenario(fleet: RolloutFleet) -> None:
             fleet.list_replicas("v2")
             fleet.order()
--- a/tests/weights_fleet.py
+++ b/tests/weights_fleet.py
@@ -1,4 +1,4 @@
-"""A leading daemon before fake replicas that load weights, for scenarios in virtual time."""
+"""A leading daemon and fake replicas that load weights, for scenarios in virtual time."""
 
 from __future__ import annotations
 
@@ -30,12 +30,16 @@
 LOAD_S = 0.6
 MODEL = "m"
 PROMPT = Prompt(MODEL, (), 400)
-#: Seconds in which a daemon that starts alone comes to lead.
+#: Limit of the time until a daemon without peers leads.
 ELECTION_S = 4.0
 
 
 class FakeReplica:
-    """Takes orders as the platform's replicas do: sequence, fence, loading, late execution."""
+    """Handles orders like the platform's replicas: sequence number, fence, loading time.
+
+    The next ``order_answers_to_lose`` orders get no answer, and are carried out only after
+    ``lost_order_delay_s``.
+    """
 
     def __init__(self, replica_id: str) -> None:
         self.replica_id = replica_id
@@ -72,12 +76,12 @@
 
 
 class FakeControl:
-    """The port to the fake replicas, by address."""
+    """Controls the fake replicas, by address."""
 
     def __init__(self, replicas: list[FakeReplica]) -> None:
         self.replicas = {replica.replica_id: replica for replica in replicas}
         self.max_loading = 0
-        #: How long a connection takes to come up for an order.
+        #: Time to connect to a replica for an order.
         self.connect_s = 0.0
 
     async def report(
@@ -114,7 +118,7 @@
 
 
 class RecordingWeightsExchange(WeightsExchange):
-    """Keeps what has been told."""
+    """Records the entries that are broadcast."""
 
     def __init__(self, state: RouterState, peers: PeerGroup) -> None:
         super().__init__(state, peers)
@@ -126,7 +130,7 @@
 
 
 class Fleet:
-    """A leading daemon before fake replicas."""
+    """One daemon and its fake replicas."""
 
     def __init__(self, replicas: list[FakeReplica]) -> None:
         loop = asyncio.get_running_loop()
@@ -158,7 +162,7 @@
 
     @classmethod
     async def with_leader(cls, replicas: list[FakeReplica]) -> Fleet:
-        """Return a fleet whose daemon has had the time to take the lead."""
+        """Return a fleet whose daemon leads."""
         fleet = cls(replicas)
         await asyncio.sleep(ELECTION_S)
         return fleet
--- a/winchfork/router/document_relay.py
+++ b/winchfork/router/document_relay.py
@@ -163,8 +163,8 @@
         elif update.at <= self._state.store_position:
             self._state.metrics.updates_dropped.labels("peer_knows_less").inc()
         else:
-            whole = self._documents.install_update(update)
-            outcome = "whole" if whole else "with_a_gap"
+            complete = self._documents.install_update(update)
+            outcome = "whole" if complete else "with_a_gap"
             self._state.metrics.updates_relayed.labels(outcome).inc()
             self._forward(update, part.sender_id)
 
