--- a/tests/test_store_sync.py
+++ b/tests/test_store_sync.py
@@ -1,4 +1,4 @@
-"""Beliefs follow the store: watches, lost history, outages, proofs of freshness. Virtual time."""
+"""StoreSync: watches, lost history, outages and freshness proofs. Virtual time."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Followed:
-    """A state that follows a store."""
+    """A RouterState that follows a store."""
 
     def __init__(self, store: MemoryStore) -> None:
         loop = asyncio.get_running_loop()
@@ -52,18 +52,18 @@
         self.store.put(f"servers/{replica_id}", json.dumps({**REPLICA, **changes}).encode())
 
     async def lose_in_an_outage(self, replica_id: str) -> None:
-        """Have an entry lapse while the store is away, and wait until that is noticed."""
+        """Remove an entry during a store outage, and wait until that is known."""
         self.store.down = True
         await asyncio.sleep(3.0)
         self.store.remove(f"servers/{replica_id}")
         self.store.compact_history()
         self.store.down = False
-        returned_s = self.state.clock()
-        while self.state.clock() - returned_s < 60.0 and not self.state.missing_until_s:
+        up_s = self.state.clock()
+        while self.state.clock() - up_s < 60.0 and not self.state.missing_until_s:
             await asyncio.sleep(0.01)
 
     async def settle(self) -> None:
-        """Wait until what was written is known."""
+        """Wait until all writes are known."""
         while self.state.store_position < self.store.at:
             await asyncio.sleep(0.01)
 
@@ -84,14 +84,14 @@
 
 
 class StoreSyncTest(unittest.TestCase):
-    def test_the_first_list_is_enough_to_serve(self) -> None:
+    def test_the_daemon_is_ready_after_the_first_list(self) -> None:
         async def scenario(followed: Followed) -> None:
             self.assertTrue(followed.state.ready)
             self.assertEqual(followed.known(), ["i-1", "i-2"])
 
         follow(scenario)
 
-    def test_a_change_is_known_at_once_and_never_goes_back(self) -> None:
+    def test_a_newer_configuration_is_installed_at_once_and_an_older_one_never(self) -> None:
         async def scenario(followed: Followed) -> None:
             followed.put_configuration(9)
             await asyncio.sleep(0.2)
@@ -103,7 +103,7 @@
 
         follow(scenario)
 
-    def test_quiet_watches_keep_the_proof_young(self) -> None:
+    def test_empty_watches_keep_the_freshness_proof_recent(self) -> None:
         async def scenario(followed: Followed) -> None:
             oldest_s = 0.0
             for _ in range(200):
@@ -114,7 +114,7 @@
 
         follow(scenario)
 
-    def test_keys_fail_closed_when_the_store_is_silent(self) -> None:
+    def test_keys_fail_closed_during_a_store_outage(self) -> None:
         async def scenario(followed: Followed) -> None:
             followed.store.down = True
             await asyncio.sleep(5.0)
@@ -126,8 +126,8 @@
 
         follow(scenario)
 
-    def test_keys_are_fresh_again_soon_after_a_standstill(self) -> None:
-        """A watch that waits its whole time would prove nothing for longer than keys may be old."""
+    def test_keys_are_fresh_again_soon_after_a_stall(self) -> None:
+        """Guards against a watch with the full wait after a stall, which delays the next proof."""
 
         async def scenario(followed: Followed) -> None:
             await asyncio.sleep(5.0)
@@ -138,7 +138,7 @@
 
         follow(scenario)
 
-    def test_a_proof_is_dated_by_the_question_when_the_answer_is_late(self) -> None:
+    def test_a_late_answer_proves_only_the_start_of_its_call(self) -> None:
         async def scenario(followed: Followed) -> None:
             released = asyncio.Semaphore(0)
             real = followed.store.watch
@@ -159,7 +159,7 @@
 
         follow(scenario)
 
-    def test_lost_history_is_listed_again(self) -> None:
+    def test_a_list_follows_when_the_history_is_lost(self) -> None:
         async def scenario(followed: Followed) -> None:
             followed.store.down = True
             await asyncio.sleep(2.0)
@@ -175,7 +175,7 @@
 
         follow(scenario)
 
-    def test_an_entry_that_vanished_in_an_outage_is_kept_for_a_while(self) -> None:
+    def test_a_replica_whose_entry_is_missing_after_an_outage_is_kept_for_a_while(self) -> None:
         async def scenario(followed: Followed) -> None:
             await followed.lose_in_an_outage("i-1")
             self.assertIn("i-1", followed.known())
@@ -186,8 +186,7 @@
 
         follow(scenario)
 
-    def test_an_entry_still_missing_two_seconds_after_the_return_is_gone(self) -> None:
-        """The operators' bound; it was kept for one and a half heartbeats, whatever those were."""
+    def test_a_replica_is_removed_when_its_entry_is_still_missing_after_the_grace(self) -> None:
 
         async def scenario(followed: Followed) -> None:
             await followed.lose_in_an_outage("i-1")
@@ -200,8 +199,8 @@
 
         follow(scenario)
 
-    def test_an_outage_takes_nothing_back_that_a_replica_has_said_of_itself(self) -> None:
-        """It vanished from the list that returned late, and came back in it as ready."""
+    def test_a_draining_replica_stays_so_when_its_entry_returns_after_an_outage(self) -> None:
+        """Its own notice counts more than an entry that is written again as ready."""
 
         async def scenario(followed: Followed) -> None:
             leaving = followed.state.fleet.get("i-1")
@@ -218,8 +217,8 @@
 
         follow(scenario)
 
-    def test_standings_that_entries_change_are_logged(self) -> None:
-        """Nothing said why replicas were left alone after the entry of another had come late."""
+    def test_incarnation_changes_caused_by_entries_are_logged(self) -> None:
+        """Guards against replicas that get no requests without a logged reason."""
 
         async def scenario(followed: Followed) -> None:
             lines: list[str] = []
@@ -246,13 +245,10 @@
 
         follow(scenario)
 
-    def test_a_list_that_is_older_than_a_peers_word_vacates_no_leadership(self) -> None:
-        """A list was asked for without a leader; a peer told of one before the answer came.
+    def test_a_list_older_than_a_peers_update_does_not_remove_the_leader(self) -> None:
+        """Guards against a daemon that campaigns in vain because a stale list shows no leader.
 
-        The answer has no leader and is the older of the two, but was heard last: the daemon took
-        the place for vacant, and no watch told it otherwise, since the entry was known by then. It
-        asked for a lease and for the leader's entry 25 times in 20 s, in vain, and would have gone
-        on until the leader changed.
+        A peer reports a leader while the daemon waits for the answer to its list.
         """
 
         async def main() -> None:
@@ -261,7 +257,7 @@
             followed = Followed(store)
             real = store.list
 
-            async def told_meanwhile(prefix: str) -> StoreSnapshot | Failure:
+            async def updated_meanwhile(prefix: str) -> StoreSnapshot | Failure:
                 snapshot = await real(prefix)
                 assert not isinstance(snapshot, Failure)
                 revision = store.put(LEADER_KEY, b"n2")
@@ -272,7 +268,7 @@
                 followed.sync.install_update(update)
                 return snapshot
 
-            store.list = told_meanwhile  # type: ignore[method-assign]
+            store.list = updated_meanwhile  # type: ignore[method-assign]
             campaigning = asyncio.create_task(followed.leadership.run())
             await asyncio.sleep(20.0)
             campaigning.cancel()
@@ -282,7 +278,7 @@
 
         run_virtually(main())
 
-    def test_a_malformed_document_leaves_the_one_in_force(self) -> None:
+    def test_a_malformed_configuration_does_not_replace_the_active_one(self) -> None:
         async def scenario(followed: Followed) -> None:
             followed.store.put("op/config", b"{broken")
             await asyncio.sleep(0.2)
@@ -292,7 +288,7 @@
 
         follow(scenario)
 
-    def test_versions_of_the_first_list_may_have_been_named_long_ago(self) -> None:
+    def test_versions_in_the_first_list_are_assumed_to_be_old(self) -> None:
         async def main() -> None:
             store = MemoryStore()
             named = json.dumps({"Model": "daka510000", "Version": 2}).encode()
@@ -308,7 +304,7 @@
 
         run_virtually(main())
 
-    def test_versions_read_when_the_store_returns_begin_their_bound_then(self) -> None:
+    def test_the_bound_of_versions_first_listed_after_an_outage_begins_then(self) -> None:
         async def main() -> None:
             store = MemoryStore()
             named = json.dumps({"Model": "daka510000", "Version": 2}).encode()
--- a/tests/test_suspended_clock.py
+++ b/tests/test_suspended_clock.py
@@ -1,4 +1,4 @@
-"""The stand-in of a machine that was suspended: its steady clock is late, its boot clock is not."""
+"""The stand-in for a suspended machine: its monotonic clock stops, its boot clock does not."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.file = Path(folder.name) / "suspended-1"
-        # Puts the two functions back after the test.
+        # Restores the two functions after the test.
         for name in ("monotonic", "clock_gettime"):
             patched = mock.patch.object(time, name, getattr(time, name))
             patched.start()
             self.addCleanup(patched.stop)
         exclude_suspensions(SuspendedTime(self.file))
 
-    def test_the_steady_clock_does_not_count_a_suspension_and_the_boot_clock_does(self) -> None:
-        steady_s, boot_s = time.monotonic(), boot_seconds()
+    def test_only_the_boot_clock_counts_a_suspension(self) -> None:
+        monotonic_s, boot_s = time.monotonic(), boot_seconds()
         SuspendedTime(self.file).write(SUSPENDED_S)
-        self.assertLess(time.monotonic(), steady_s)
-        self.assertLess(time.clock_gettime(time.CLOCK_MONOTONIC), steady_s)
+        self.assertLess(time.monotonic(), monotonic_s)
+        self.assertLess(time.clock_gettime(time.CLOCK_MONOTONIC), monotonic_s)
         self.assertGreaterEqual(boot_seconds(), boot_s)
 
-    def test_suspensions_add_up_and_a_new_process_begins_anew(self) -> None:
+    def test_suspensions_add_up_and_can_be_reset(self) -> None:
         machine = SuspendedTime(self.file)
         machine.write(machine.total_s() + 2.0)
         machine.write(machine.total_s() + 3.0)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,8 +1,7 @@
-"""A machine that was suspended: what is believed has aged by the time that it was asleep.
+"""After a suspension of the machine, all state has aged by the time that it lasted.
 
-The clock that event loops read by default does not count a suspension: a daemon that wakes after
-five seconds would act as the leader, admit keys and begin requests on replaced weights as if no
-time had passed.
+Guards against event loops whose clock does not count a suspension: a daemon that resumes would act
+as leader, admit API keys and start requests on replaced weights as if no time had passed.
 """
 
 from __future__ import annotations
@@ -45,69 +44,69 @@
 from winchfork.router.pooled_http_client import PooledHttpClient
 from winchfork.router.request_admission import RequestAdmission
 
-#: Seconds of sleep: within every bound, at the edge of them, beyond all.
-SLEEPS_S = (1.0, 5.0, 30.0)
+#: Durations of a suspension: within all bounds, at the edge of them, and beyond all.
+SUSPENSIONS_S = (1.0, 5.0, 30.0)
 
 
 class LoopClockTest(unittest.TestCase):
-    def test_timers_that_were_due_while_asleep_act_at_once(self) -> None:
-        asleep_s = 0.0
+    def test_timers_that_came_due_during_a_suspension_fire_at_once(self) -> None:
+        suspended_s = 0.0
         read = time.clock_gettime
 
         def clock_gettime(clock: int) -> float:
             counts = clock == time.CLOCK_BOOTTIME
-            return read(clock) + (asleep_s if counts else 0.0)
+            return read(clock) + (suspended_s if counts else 0.0)
 
         async def scenario() -> tuple[float, bool]:
-            nonlocal asleep_s
+            nonlocal suspended_s
             loop = asyncio.get_running_loop()
-            acted = asyncio.Event()
-            loop.call_later(20.0, acted.set)
+            fired = asyncio.Event()
+            loop.call_later(20.0, fired.set)
             before_s = loop.time()
-            asleep_s = 30.0
+            suspended_s = 30.0
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            return loop.time() - before_s, acted.is_set()
+            return loop.time() - before_s, fired.is_set()
 
         with (
             mock.patch("time.clock_gettime", clock_gettime),
             asyncio.Runner(loop_factory=BootClockLoop) as runner,
         ):
-            passed_s, acted = runner.run(scenario())
+            passed_s, fired = runner.run(scenario())
         self.assertGreaterEqual(passed_s, 30.0)
-        self.assertTrue(acted)
+        self.assertTrue(fired)
 
-    def test_a_router_process_runs_on_that_loop(self) -> None:
+    def test_a_router_process_uses_this_loop(self) -> None:
         factories: list[object] = []
 
-        class Seen(Exception):
-            """Ends the run as soon as the loop is chosen."""
+        class LoopChosen(Exception):
+            """Ends the process as soon as its loop is chosen."""
 
         def runner(*, loop_factory: object = None) -> None:
             factories.append(loop_factory)
-            raise Seen
+            raise LoopChosen
 
         settings = mock.Mock()
         with (
             mock.patch.object(process, "LogOutput"),
             mock.patch.object(process, "configure_logs"),
             mock.patch("asyncio.Runner", runner),
-            self.assertRaises(Seen),
+            self.assertRaises(LoopChosen),
         ):
             process.run_router(settings, mock.Mock(), lambda: settings, 0.0)
         self.assertEqual(factories, [BootClockLoop])
 
 
-def asleep(scenario: Callable[[float], Awaitable[None]]) -> None:
-    """Run a scenario for each length of sleep."""
-    for seconds in SLEEPS_S:
+def for_each_duration(scenario: Callable[[float], Awaitable[None]]) -> None:
+    """Run a scenario for each duration of a suspension."""
+    for seconds in SUSPENSIONS_S:
         run_virtually(scenario(seconds))  # type: ignore[arg-type]
 
 
-class BeliefTest(unittest.TestCase):
-    """One test for each belief; the first decision after waking has to know its age."""
+class StateAgeTest(unittest.TestCase):
+    """Checks for each kind of state that the first decision after a suspension knows its age."""
 
-    def test_a_leader_that_slept_beyond_its_turn_gives_no_order(self) -> None:
+    def test_a_leader_gives_no_order_after_its_lease_may_have_expired(self) -> None:
         async def scenario(seconds: float) -> None:
             network = Network()
             daemon = Daemon(network, 1, store=MemoryStore())
@@ -119,22 +118,22 @@
             self.assertFalse(daemon.leadership.leads())
             daemon.kill(network)
 
-        asleep(scenario)
+        for_each_duration(scenario)
 
-    def test_a_pause_that_a_replica_asked_for_passes_in_sleep(self) -> None:
+    def test_a_replicas_backoff_elapses_during_a_suspension(self) -> None:
         async def scenario(seconds: float) -> None:
             relay = RelayUnderTest()
             listing = ReplicaListing("i-1", "s", "127.0.0.1:1", "z1", 8, True)
             replica = relay.state.fleet.install(listing)
             relay.state.notices.record(replica, AnswerNotice(backoff_s=3.0))
             stall_loop(seconds)
-            woken_s = relay.state.clock()
-            self.assertEqual(replica.notice.is_backing_off(woken_s), seconds < 3.0)
+            resumed_s = relay.state.clock()
+            self.assertEqual(replica.notice.is_backing_off(resumed_s), seconds < 3.0)
             relay.state.notices.record(replica, AnswerNotice(draining=True))
             stall_loop(seconds)
             self.assertFalse(replica.accepting)
 
-        asleep(scenario)
+        for_each_duration(scenario)
 
     def test_a_key_that_may_have_been_revoked_is_not_admitted(self) -> None:
         async def scenario(seconds: float) -> None:
@@ -153,9 +152,9 @@
             if isinstance(admitted, Failure):
                 self.assertIs(admitted.kind, FailureKind.CONFIGURATION_STALE)
 
-        asleep(scenario)
+        for_each_duration(scenario)
 
-    def test_replaced_weights_are_not_begun_after_their_bound(self) -> None:
+    def test_replaced_weights_expire_by_their_bound(self) -> None:
         async def scenario(seconds: float) -> None:
             relay = RelayUnderTest()
             relay.configure()
@@ -165,24 +164,24 @@
             history.add(2, state.clock())
             bound_s = state.settings.bounds.weights_s
             stall_loop(seconds)
-            over = state.replica_selector.weights_expire_at_s("m", 1) <= state.clock()
-            self.assertEqual(over, seconds >= bound_s)
+            expired = state.replica_selector.weights_expire_at_s("m", 1) <= state.clock()
+            self.assertEqual(expired, seconds >= bound_s)
 
-        asleep(scenario)
+        for_each_duration(scenario)
 
-    def test_a_bucket_holds_no_more_than_its_burst(self) -> None:
+    def test_a_token_bucket_holds_no_more_than_its_burst(self) -> None:
         async def scenario(seconds: float) -> None:
             relay = RelayUnderTest()
             quotas = relay.state.quotas
             limit = TenantLimit(10.0, 20.0, QuotaUnit.REQUESTS, 1.0)
             quotas.install({"school": limit}, relay.state.clock())
             stall_loop(seconds)
-            left = quotas.remaining(relay.state.clock())["school"]
-            self.assertLessEqual(left, 20.0)
+            remaining = quotas.remaining(relay.state.clock())["school"]
+            self.assertLessEqual(remaining, 20.0)
 
-        asleep(scenario)
+        for_each_duration(scenario)
 
-    def test_a_suspect_elsewhere_has_ended_by_its_time(self) -> None:
+    def test_a_peers_run_of_a_suspect_request_ends_at_its_deadline(self) -> None:
         async def scenario(seconds: float) -> None:
             relay = RelayUnderTest()
             crashes = relay.state.crashes
@@ -192,9 +191,9 @@
             stall_loop(seconds)
             self.assertEqual(crashes.may_run(b"d"), seconds >= 4.0)
 
-        asleep(scenario)
+        for_each_duration(scenario)
 
-    def test_a_refusal_lasts_by_the_time_that_has_passed(self) -> None:
+    def test_a_refusal_expires_during_a_suspension(self) -> None:
         async def scenario(seconds: float) -> None:
             relay = RelayUnderTest()
             ledger = relay.state.crashes.ledger
@@ -203,20 +202,20 @@
             refused = relay.state.crashes.refusal(b"d") is not None
             self.assertEqual(refused, seconds < 4.0)
 
-        asleep(scenario)
+        for_each_duration(scenario)
 
-    def test_the_sleep_is_noticed_as_a_standstill(self) -> None:
+    def test_a_suspension_is_detected_as_a_stall(self) -> None:
         async def scenario(seconds: float) -> None:
             relay = RelayUnderTest()
-            watch = relay.state.stall_detector
-            watch.tick(relay.state.clock())
+            detector = relay.state.stall_detector
+            detector.tick(relay.state.clock())
             proven_s = relay.state.clock()
             stall_loop(seconds)
-            self.assertFalse(watch.ran_since(proven_s, relay.state.clock()))
+            self.assertFalse(detector.ran_since(proven_s, relay.state.clock()))
 
-        asleep(scenario)
+        for_each_duration(scenario)
 
-    def test_the_loop_of_these_tests_moves_its_time_as_a_suspension_does(self) -> None:
+    def test_stall_loop_advances_the_time_of_the_virtual_loop(self) -> None:
         async def scenario(seconds: float) -> None:
             loop = asyncio.get_running_loop()
             self.assertIsInstance(loop, VirtualLoop)
@@ -224,24 +223,24 @@
             stall_loop(seconds)
             self.assertEqual(loop.time() - before_s, seconds)
 
-        asleep(scenario)
+        for_each_duration(scenario)
 
 
-class UnderWayTest(unittest.IsolatedAsyncioTestCase):
-    """What was under way when the machine fell asleep, over real sockets; the clock is given in."""
+class RunningCallsTest(unittest.IsolatedAsyncioTestCase):
+    """Calls that run when the machine is suspended. Uses real sockets; the clock is simulated."""
 
     def setUp(self) -> None:
-        self.asleep_s = 0.0
+        self.suspended_s = 0.0
 
-    def sleep(self, seconds: float) -> None:
-        """Let the loop's clock jump, as the one that counts suspensions does."""
+    def suspend(self, seconds: float) -> None:
+        """Advance the loop's clock like a suspension does."""
         loop = asyncio.get_running_loop()
         read = loop.time
-        self.asleep_s = seconds
+        self.suspended_s = seconds
         loop.time = lambda: read() + seconds  # type: ignore[method-assign]
 
-    async def test_a_stream_whose_time_was_over_asleep_is_ended_at_once(self) -> None:
-        for seconds in SLEEPS_S:
+    async def test_a_stream_whose_deadline_passed_during_a_suspension_is_aborted(self) -> None:
+        for seconds in SUSPENSIONS_S:
             with self.subTest(seconds=seconds):
                 begun = asyncio.Event()
 
@@ -264,24 +263,24 @@
                 await relay.start()
                 reader, writer = await relay.connect()
                 writer.write(caller_request())
-                # Not bounded by a timer, which would sleep along.
-                asked = asyncio.create_task(read_answer(reader))
+                # Not limited by a timer, which the jump of the clock would fire.
+                answer = asyncio.create_task(read_answer(reader))
                 await begun.wait()
                 await asyncio.sleep(0.05)
-                self.sleep(seconds)
-                over = seconds > 4.0
-                done, _ = await asyncio.wait([asked], timeout=1.0 if over else 0.2)
-                self.assertEqual(bool(done), over)
-                if over:
-                    self.assertFalse(asked.result().whole)
-                asked.cancel()
+                self.suspend(seconds)
+                is_expired = seconds > 4.0
+                done, _ = await asyncio.wait([answer], timeout=1.0 if is_expired else 0.2)
+                self.assertEqual(bool(done), is_expired)
+                if is_expired:
+                    self.assertFalse(answer.result().whole)
+                answer.cancel()
                 writer.close()
                 await relay.stop()
                 await replica.stop()
 
-    async def test_an_order_is_not_sent_after_a_sleep_beyond_the_turn(self) -> None:
-        """The connection for an order comes up after the sleep: its first byte may not leave."""
-        for seconds in SLEEPS_S:
+    async def test_an_order_is_not_sent_when_the_leader_was_suspended_before_it(self) -> None:
+        """The connection opens after the suspension, when the leader may no longer act."""
+        for seconds in SUSPENSIONS_S:
             with self.subTest(seconds=seconds):
                 replica = ScriptedReplica(answering(lambda request: signed(request, b"{}")))
                 await replica.start()
@@ -291,7 +290,7 @@
                 self.assertTrue(leader.may_act())
                 pool = ConnectionPool()
                 caller = PooledHttpClient(pool)
-                self.sleep(seconds)
+                self.suspend(seconds)
                 leader._clock = loop.time
                 reply = await caller.call(
                     replica.address,
--- a/tests/test_weights_rollout.py
+++ b/tests/test_weights_rollout.py
@@ -1,4 +1,4 @@
-"""A rollout over replicas that lose answers, carry orders out late, and restart. Virtual time."""
+"""Weights rollouts on replicas that lose answers, load late or restart. Virtual time."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RolloutTest(unittest.TestCase):
-    def test_all_replicas_are_brought_in_time_a_third_at_once(self) -> None:
+    def test_all_replicas_load_in_time_and_at_most_a_third_at_once(self) -> None:
         async def scenario() -> None:
             replicas = [FakeReplica(f"i-{number}") for number in range(6)]
             fleet = await Fleet.with_leader(replicas)
@@ -24,8 +24,8 @@
 
         run_virtually(scenario())
 
-    def test_a_rollout_of_many_replicas_tells_peers_in_few_messages(self) -> None:
-        """Each message goes to every member: one a replica and report is a flood at 79 members."""
+    def test_a_rollout_of_many_replicas_sends_few_messages_to_peers(self) -> None:
+        """Guards against a flood: each message goes to every member."""
 
         async def scenario() -> None:
             replicas = [FakeReplica(f"i-{number}") for number in range(45)]
@@ -34,11 +34,11 @@
             await asyncio.sleep(8.0)
             self.assertEqual({replica.version for replica in replicas}, {2})
             self.assertLess(len(fleet.news.sent), 60)
-            self.assertLess(sum(len(notes) for notes in fleet.news.sent), 45 * 6)
+            self.assertLess(sum(len(entries) for entries in fleet.news.sent), 45 * 6)
 
         run_virtually(scenario())
 
-    def test_a_newer_version_replaces_the_older_in_mid_rollout(self) -> None:
+    def test_a_newer_version_replaces_the_older_one_during_a_rollout(self) -> None:
         async def scenario() -> None:
             replicas = [FakeReplica(f"i-{number}") for number in range(9)]
             fleet = await Fleet.with_leader(replicas)
@@ -51,7 +51,7 @@
 
         run_virtually(scenario())
 
-    def test_a_lost_order_carried_out_late_undoes_nothing(self) -> None:
+    def test_a_lost_order_that_is_executed_late_does_not_restore_an_older_version(self) -> None:
         async def scenario() -> None:
             replicas = [FakeReplica(f"i-{number}") for number in range(3)]
             for replica in replicas:
@@ -67,7 +67,7 @@
 
         run_virtually(scenario())
 
-    def test_a_replica_under_order_is_given_no_work(self) -> None:
+    def test_a_loading_replica_gets_no_requests(self) -> None:
         async def scenario() -> None:
             replicas = [FakeReplica(f"i-{number}") for number in range(3)]
             fleet = await Fleet.with_leader(replicas)
@@ -85,27 +85,27 @@
 
         run_virtually(scenario())
 
-    def test_a_replica_that_wants_rest_is_ordered_after_it_unless_it_is_overdue(self) -> None:
-        """A pause of 3 s ends in time; one of a minute would leave the replica behind for good."""
+    def test_a_replica_that_backs_off_is_ordered_afterwards_unless_it_is_overdue(self) -> None:
+        """A backoff of 3 s ends in time; one of a minute would outlast the replica's weights."""
 
         async def scenario() -> None:
-            for rest_s, ordered_from_s, ordered_until_s in ((3.0, 3.0, 4.5), (60.0, 6.5, 9.5)):
+            for backoff_s, ordered_from_s, ordered_until_s in ((3.0, 3.0, 4.5), (60.0, 6.5, 9.5)):
                 replicas = [FakeReplica(f"i-{number}") for number in range(3)]
                 fleet = await Fleet.with_leader(replicas)
-                resting = fleet.state.fleet.get("i-1")
-                assert resting is not None
-                fleet.state.notices.record(resting, AnswerNotice(backoff_s=rest_s))
-                asked_s = fleet.state.clock()
+                backing_off = fleet.state.fleet.get("i-1")
+                assert backing_off is not None
+                fleet.state.notices.record(backing_off, AnswerNotice(backoff_s=backoff_s))
+                named_s = fleet.state.clock()
                 fleet.name_version(2)
                 while replicas[1].next_version == 1:
                     await asyncio.sleep(0.01)
-                waited_s = fleet.state.clock() - asked_s
+                waited_s = fleet.state.clock() - named_s
                 self.assertGreaterEqual(waited_s, ordered_from_s)
                 self.assertLess(waited_s, ordered_until_s)
 
         run_virtually(scenario())
 
-    def test_a_replica_that_leaves_by_its_answers_is_not_ordered(self) -> None:
+    def test_a_replica_whose_answers_say_that_it_drains_is_not_ordered(self) -> None:
         async def scenario() -> None:
             replicas = [FakeReplica(f"i-{number}") for number in range(3)]
             fleet = await Fleet.with_leader(replicas)
@@ -118,7 +118,7 @@
 
         run_virtually(scenario())
 
-    def test_a_daemon_that_does_not_lead_orders_nothing(self) -> None:
+    def test_a_daemon_that_does_not_lead_gives_no_orders(self) -> None:
         async def scenario() -> None:
             replicas = [FakeReplica("i-1")]
             fleet = Fleet(replicas)
@@ -130,12 +130,10 @@
 
         run_virtually(scenario())
 
-    def test_a_resignation_does_not_tell_an_order_to_be_older_than_it_is(self) -> None:
-        """The connection for an order took 0.5 s to come up, and the order left after that.
+    def test_a_resignation_does_not_report_an_order_as_older_than_it_is(self) -> None:
+        """Guards against an order that is dated before its connection is open.
 
-        The leader had dated it before it asked for the connection. Its resignation, 2.0 s after the
-        order, told an age of 2.5 s. A successor allows for 0.25 s only, so its first order could
-        have come before the last one of its predecessor was a lease bound old.
+        The successor could then act before that order is a lease bound old.
         """
 
         async def scenario() -> None:
@@ -146,15 +144,15 @@
             fleet.name_version(2)
             while replica.next_version == 1:
                 await asyncio.sleep(0.01)
-            left_s = replica.loading_until_s - LOAD_S
+            sent_s = replica.loading_until_s - LOAD_S
             await asyncio.sleep(2.0)
-            told = await fleet.leadership.resign()
-            assert told is not None
-            self.assertLessEqual(told.last_order_ms / 1000.0, fleet.state.clock() - left_s)
+            resignation = await fleet.leadership.resign()
+            assert resignation is not None
+            self.assertLessEqual(resignation.last_order_ms / 1000.0, fleet.state.clock() - sent_s)
 
         run_virtually(scenario())
 
-    def test_old_weights_take_no_request_that_would_begin_too_late(self) -> None:
+    def test_a_replica_with_old_weights_gets_no_request_that_would_start_too_late(self) -> None:
         async def scenario() -> None:
             fleet = Fleet([FakeReplica("i-1")])
             for task in fleet.tasks:
@@ -168,16 +166,16 @@
             await asyncio.sleep(named_s + 6.5 - fleet.state.clock())
             self.assertFalse(fleet.state.replica_selector.candidates("s", set(), PROMPT))
             replica.pending_prefill_tokens = 0
-            long = Prompt(MODEL, (), 40_000)
-            self.assertFalse(fleet.state.replica_selector.candidates("s", set(), long))
+            long_prompt = Prompt(MODEL, (), 40_000)
+            self.assertFalse(fleet.state.replica_selector.candidates("s", set(), long_prompt))
             self.assertTrue(fleet.state.replica_selector.candidates("s", set(), PROMPT))
             await asyncio.sleep(1.0)
             self.assertFalse(fleet.state.replica_selector.candidates("s", set(), PROMPT))
 
         run_virtually(scenario())
 
-    def test_a_large_prompt_is_not_sent_two_seconds_before_old_weights_end(self) -> None:
-        """scale-2 --seed 1094670478528 (amse-vigie): sent 1.84 s before, it began 1.85 s later."""
+    def test_a_large_prompt_is_not_sent_two_seconds_before_old_weights_expire(self) -> None:
+        """Guards against a prompt that starts too late because of its own prefill time."""
 
         async def scenario() -> None:
             fleet = Fleet([FakeReplica("i-1")])
@@ -192,7 +190,7 @@
 
         run_virtually(scenario())
 
-    def test_a_replica_that_has_taken_an_order_stays_held_when_the_store_is_lost(self) -> None:
+    def test_a_replica_that_accepted_an_order_stays_on_hold_when_the_store_is_lost(self) -> None:
         async def scenario() -> None:
             replicas = [FakeReplica(f"i-{number}") for number in range(3)]
             fleet = await Fleet.with_leader(replicas)
@@ -213,7 +211,7 @@
 
         run_virtually(scenario())
 
-    def test_a_replica_that_returns_with_weights_long_replaced_gets_no_request(self) -> None:
+    def test_a_replica_that_returns_with_expired_weights_gets_no_request(self) -> None:
         async def scenario() -> None:
             replicas = [FakeReplica(f"i-{number}") for number in range(3)]
             fleet = await Fleet.with_leader(replicas)
@@ -221,9 +219,9 @@
             await asyncio.sleep(9.0)
             fleet.name_version(3)
             await asyncio.sleep(1.0)
-            back = ReplicaListing("i-9", "s", "i-9", "z1", 8, True, {MODEL: 1})
+            returned = ReplicaListing("i-9", "s", "i-9", "z1", 8, True, {MODEL: 1})
             fleet.control.replicas["i-9"] = FakeReplica("i-9")
-            fleet.state.fleet.install(back)
+            fleet.state.fleet.install(returned)
             available = {
                 item.replica_id
                 for item in fleet.state.replica_selector.candidates("s", set(), PROMPT)
@@ -238,8 +236,8 @@
 
         run_virtually(scenario())
 
-    def test_an_order_names_the_version_that_is_newest_when_it_leaves(self) -> None:
-        """A version named between the turn's begin and its order was loaded over a moment later."""
+    def test_an_order_names_the_version_that_is_newest_when_it_is_sent(self) -> None:
+        """Guards against a load of a version that was replaced while the order was prepared."""
 
         async def scenario() -> None:
             replica = FakeReplica("r0")
@@ -253,10 +251,8 @@
 
         run_virtually(scenario())
 
-    def test_a_replica_that_was_only_doubted_while_it_loads_stays_held(self) -> None:
-        """A late entry at its address ended the watch over an order that was taken 1.6 s before
-        (`rollout_postponed`), and peers were told that the replica was free while it loaded.
-        """
+    def test_a_loading_replica_stays_on_hold_when_its_incarnation_is_only_suspected(self) -> None:
+        """Guards against a late entry at its address that ends the hold while it loads."""
 
         async def scenario() -> None:
             replica = FakeReplica("r0")
@@ -278,9 +274,10 @@
 
         run_virtually(scenario())
 
-    def test_a_replica_that_has_taken_an_order_is_held_beyond_its_leader(self) -> None:
-        """A leader that stood still renewed no holds, and 9 to 67 requests a play went to replicas
-        that refused them while they loaded. The list's word on the new version ends a hold.
+    def test_a_replica_that_accepted_an_order_stays_on_hold_without_its_leader(self) -> None:
+        """Guards against requests to a loading replica when its leader no longer renews the hold.
+
+        The hold ends when the replica's entry shows the new version.
         """
 
         async def scenario() -> None:
@@ -300,12 +297,12 @@
 
         run_virtually(scenario())
 
-    def test_replicas_are_overdue_by_the_bound_on_their_weights(self) -> None:
+    def test_more_replicas_load_at_once_when_their_weights_have_expired(self) -> None:
         for named_before_s, at_once in ((0.0, 2), (8.0, 4)):
             with self.subTest(named_before_s=named_before_s):
-                self.assertEqual(self._most_loading(named_before_s), at_once)
+                self.assertEqual(self._max_loading(named_before_s), at_once)
 
-    def _most_loading(self, named_before_s: float) -> int:
+    def _max_loading(self, named_before_s: float) -> int:
         async def scenario() -> int:
             fleet = await Fleet.with_leader([FakeReplica(f"i-{number}") for number in range(6)])
             fleet.state.weights_versions[MODEL].add(2, fleet.state.clock() - named_before_s)
@@ -314,8 +311,8 @@
 
         return run_virtually(scenario())
 
-    def test_a_turn_is_not_spent_on_a_replica_that_has_ended(self) -> None:
-        """scale-2 (hyt-kathmandu): orders to incarnations that had crashed held a slot for 4 s."""
+    def test_an_incarnation_that_has_ended_does_not_delay_other_loads(self) -> None:
+        """Guards against orders to crashed incarnations that take up loading slots."""
 
         async def scenario() -> None:
             replicas = [FakeReplica(f"i-{number}") for number in range(3)]
@@ -340,23 +337,19 @@
 
         run_virtually(scenario())
 
-    def test_an_order_that_another_answered_gives_that_one_its_turn(self) -> None:
-        """A replica behind a late entry at its address was never ordered to newer weights.
+    def test_a_replica_that_answers_an_order_to_another_incarnation_is_ordered_next(self) -> None:
+        """Guards against a replica that is never ordered to load newer weights.
 
-        Replicas had started again at their addresses, and the entries of the incarnations before
-        came into the list once more at 11.2 s. The leader's order to the old one was answered by
-        the new one: "weights_ordered replica=i-fb2bd5ab5d version=3 ... outcome=other_replica" at
-        11.6 s. No order went to i-fa04b60938, which answers there, from then on: at the end it had
-        version 2 where 5 was in force.
+        A late entry of an earlier incarnation at its address supersedes its own entry.
         """
 
         async def scenario() -> None:
-            living = FakeReplica("i-0")
-            fleet = await Fleet.with_leader([living])
+            running = FakeReplica("i-0")
+            fleet = await Fleet.with_leader([running])
             late = ReplicaListing("i-late", "s", "i-0", "z1", 8, True, {MODEL: 1})
             fleet.state.fleet.install(late)
             fleet.name_version(2)
             await asyncio.sleep(8.0)
-            self.assertEqual(living.version, 2)
+            self.assertEqual(running.version, 2)
 
         run_virtually(scenario())
