--- a/tests/test_leader_copies.py
+++ b/tests/test_leader_copies.py
@@ -163,7 +163,7 @@
         self._play(scenario, acts_within_s=LEASE_BOUND_S + 2.0)
 
     def test_a_successor_that_sees_its_entry_before_the_answer_waits_the_full_bound(self) -> None:
-        """Guards against a shorter wait because the own entry clears the mark of the restore."""
+        """Guards against a shorter wait because the own entry resets the restored flag."""
 
         async def scenario(fleet: StoreRestoreFleet) -> None:
             backup = backup_without_leader(fleet)
--- a/tests/test_software_failures.py
+++ b/tests/test_software_failures.py
@@ -27,7 +27,7 @@
 
 class FailuresTest(unittest.TestCase):
     def test_an_order_right_after_the_fleets_start_has_its_full_duration(self) -> None:
-        """Guards against an assumed age for orders and records that a daemon sees as written."""
+        """Guards against an assumed age for entries that a running daemon sees being written."""
 
         async def main() -> None:
             fleet = RolloutFleet()
--- a/winchfork/router/leadership.py
+++ b/winchfork/router/leadership.py
@@ -260,7 +260,7 @@
         ``wait_s`` returns how long the new leader has to wait before it acts.
         """
         started_s = self._clock()
-        # Evaluated first: reports received during the calls, as of the own entry, reset its inputs.
+        # Must come before the calls: entries received meanwhile, even the own one, change it.
         acts_in_s = wait_s()
         lease = await self._store.grant_lease(self._lease_s)
         if isinstance(lease, Failure):
--- a/winchfork/router/refusal_records.py
+++ b/winchfork/router/refusal_records.py
@@ -147,8 +147,8 @@
             log_event(
                 "digest_refused", digest=record.digest.hex(), times=record.times, told_by="store"
             )
-        # Also recorded after the refusal has expired: the request then runs isolated from others,
-        # and is refused for longer if a replica crashes again.
+        # Also recorded after the refusal has expired: the request then counts as a suspect, and is
+        # refused for longer if a replica crashes again.
         self._ledger.refuse(record.digest, record.times, now_s + for_s - age_s)
 
     def _release(self, key: str) -> None:
--- a/winchfork/router/restored_entries.py
+++ b/winchfork/router/restored_entries.py
@@ -1,8 +1,8 @@
 """Holds back outdated replica entries after the store was restored from a backup.
 
-The first list of an era may contain entries that are seconds old. A replica that was already
-leaving is not accepted again. One that was already removed is accepted once it writes its entry
-again, or if the entry still exists after the time in which a dead replica's entry would expire.
+The first list of an era may contain entries that are seconds old. An entry from before its replica
+began to drain is ignored. An entry of a replica that was already removed is applied once it is
+written again, or if it still exists after the time in which a dead replica's entry would expire.
 """
 
 from __future__ import annotations
--- a/winchfork/router/software_rollout.py
+++ b/winchfork/router/software_rollout.py
@@ -177,8 +177,9 @@
     def _left_s(self, record: SoftwareState, elapsed_s: float) -> float:
         """Return the time until an order's time limit.
 
-        The age of the order takes precedence over the elapsed time of the records. Each record is
-        dated from when it was first seen, after its write, so that their sum falls behind.
+        This uses the age of the order if it is greater than ``elapsed_s``. Each record is dated
+        from when it was first seen, shortly after its write, so the times that records carry on
+        fall short.
         """
         seen = self._orders_seen.get(record.service)
         if seen is not None and seen.revision == record.order_revision:
--- a/winchfork/router/software_versions.py
+++ b/winchfork/router/software_versions.py
@@ -276,7 +276,7 @@
         return self.stop_cause(state) is not None
 
     def stop_cause(self, state: SoftwareState) -> StopCause | None:
-        """Return why the target of a running order gets no more requests; None if it does."""
+        """Return why the target of a running order gets no more requests; None if it still may."""
         stop = self._stops.get(state.service)
         if stop is None or not state.running or stop.order_revision != state.order_revision:
             return None
--- a/winchfork/router/weights_rollout.py
+++ b/winchfork/router/weights_rollout.py
@@ -35,7 +35,7 @@
 HOLD_PROPAGATION_S = 0.03
 #: Longest wait for the prefill of prompts already sent; a replica under order refuses the rest.
 MAX_PREFILL_WAIT_S = 0.6
-#: Limit of the time until a replica accepts an order; after it, the next pass begins anew.
+#: Limit of the time until a replica accepts an order; the next pass tries it again.
 MAX_ORDER_WAIT_S = 4.0
 #: Limit of the total time once an order was accepted; covers the replica's longest answer.
 MAX_LOAD_WAIT_S = 12.0
