--- a/tests/peer_support.py
+++ b/tests/peer_support.py
@@ -155,8 +155,8 @@
         self.sync = StoreSync(
             self.state, self.store, PlatformDocumentCodec(), self.leadership, random.Random(number)
         )
-        self.parts = connect_peers(self.state, self.peers, self.sync, self.leadership)
-        self.weights = self.parts.weights
+        self.exchanges = connect_peers(self.state, self.peers, self.sync, self.leadership)
+        self.weights = self.exchanges.weights
         network.groups[self.ip] = self.peers
         for replica in ("i-1", "i-2"):
             listing = ReplicaListing(replica, "s", "a:1", "z1", 8, True, {"m": 1})
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -133,7 +133,7 @@
             daemon.leadership,
             daemon.store,
             PlatformDocumentCodec(),
-            daemon.parts.evidence,
+            daemon.exchanges.evidence,
         )
         daemon.tasks.append(asyncio.create_task(duty.run()))
         daemon.tasks.append(asyncio.create_task(self._send(daemon)))
--- a/tests/run.py
+++ b/tests/run.py
@@ -30,8 +30,8 @@
     "test_region_fleet",
     "test_limit_fleet",
     "test_limit_share",
-    "test_leader_copies",
-    "test_store_copies",
+    "test_leadership_after_restore",
+    "test_store_restore",
     "test_restored_entries",
 )
 #: Processes for them: with the main one, half of the cores of a small machine.
--- a/tests/test_crash_fleet.py
+++ b/tests/test_crash_fleet.py
@@ -45,7 +45,7 @@
     def expire_refusals(self, digest: bytes) -> None:
         """Let a refusal expire on every daemon."""
         for daemon in self.daemons:
-            ledger = daemon.state.crashes.ledger
+            ledger = daemon.state.crashes.history
             ledger.refuse(digest, ledger.times_refused(digest), daemon.state.clock())
 
     def crash(self, number: int, incarnation: int, digest: bytes) -> None:
@@ -194,7 +194,7 @@
                 fleet.crash(number, number + 1, DIGEST)
             await asyncio.sleep(1.0)
             later_s = fleet.daemons[0].state.clock() + QUARTER_HOUR_S
-            self.assertFalse(fleet.daemons[0].state.crashes.ledger.is_refused(DIGEST, later_s))
+            self.assertFalse(fleet.daemons[0].state.crashes.history.is_refused(DIGEST, later_s))
             fleet.expire_refusals(DIGEST)
             self.assertEqual(fleet.refusing_count(DIGEST), 0)
             self.assertEqual(fleet.daemons[0].state.crashes.crash_count(DIGEST), CRASHES_TO_REFUSE)
@@ -203,7 +203,7 @@
             self.assertEqual(fleet.refusing_count(DIGEST), 3)
             for daemon in fleet.daemons:
                 later_s = daemon.state.clock() + QUARTER_HOUR_S
-                self.assertTrue(daemon.state.crashes.ledger.is_refused(DIGEST, later_s))
+                self.assertTrue(daemon.state.crashes.history.is_refused(DIGEST, later_s))
             successors = Fleet(store, 2, first=10)
             await asyncio.sleep(1.0)
             self.assertEqual(successors.refusing_count(DIGEST), 2)
@@ -303,7 +303,7 @@
                 store.put(f"winchfork/refused/{number:03x}", value)
             await asyncio.sleep(1.0)
             for daemon in fleet.daemons:
-                self.assertEqual(daemon.state.crashes.ledger.refused_count, 0)
+                self.assertEqual(daemon.state.crashes.history.refused_count, 0)
                 self.assertEqual(daemon.state.metrics.documents_refused.value, 3)
                 self.assertLess(daemon.age_s(), 3.0)
 
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_tracker.py
@@ -111,7 +111,9 @@
         for number in range(CRASHES_TO_REFUSE):
             await relay.ask(f"id-{number}")
             await until(
-                lambda count=number + 1: relay.state.crashes.ledger.crash_count(ASKED, 0.0) == count  # type: ignore[misc]
+                lambda count=number + 1: (
+                    relay.state.crashes.history.crash_count(ASKED, 0.0) == count
+                )  # type: ignore[misc]
             )
         answer = await relay.ask("id-last")
         self.assertEqual(answer.status, 500)
@@ -124,7 +126,7 @@
         relay = await self.relay(CrashingReplica(), healthy)
         self.assertEqual((await relay.ask()).status, 200)
         await until(lambda: not relay.state.crashes.crash_count(ASKED))
-        self.assertEqual(relay.state.crashes.ledger.suspected_count, 0)
+        self.assertEqual(relay.state.crashes.history.suspected_count, 0)
 
     async def test_a_crash_is_detected_also_after_a_lost_answer(self) -> None:
         """The replica answers the probe after the first break, but not after the second one."""
@@ -135,7 +137,7 @@
         await asyncio.sleep(0.06)
         self.assertEqual(relay.state.crashes.crash_count(ASKED), 0)
         await relay.ask("id-2")
-        await until(lambda: relay.state.crashes.ledger.crash_count(ASKED, 0.0) == 1)
+        await until(lambda: relay.state.crashes.history.crash_count(ASKED, 0.0) == 1)
 
     async def test_connections_broken_by_a_draining_replica_cause_no_suspicion(self) -> None:
         replica = CrashingReplica()
@@ -145,7 +147,7 @@
         )
         self.assertEqual((await relay.ask()).status, 502)
         await asyncio.sleep(0.1)
-        self.assertEqual(relay.state.crashes.ledger.suspected_count, 0)
+        self.assertEqual(relay.state.crashes.history.suspected_count, 0)
         self.assertEqual(len(replica.received), 1)
 
     async def test_an_idle_connection_does_not_count_as_a_reached_replica(self) -> None:
@@ -167,7 +169,7 @@
             *(relay.ask(f"id-{name}", method="POST", body=name.encode()) for name in "ab")
         )
         await relay.ask("id-3")
-        await until(lambda: relay.state.crashes.ledger.crash_count(ASKED, 0.0) == 1)
+        await until(lambda: relay.state.crashes.history.crash_count(ASKED, 0.0) == 1)
 
     async def test_a_suspect_waits_while_another_daemon_runs_it(self) -> None:
         replica = ScriptedReplica(answering(lambda request: signed(request, b"ok")))
--- a/tests/test_limit_fleet.py
+++ b/tests/test_limit_fleet.py
@@ -40,7 +40,7 @@
             await asyncio.sleep(12.0)
             for daemon in daemons:
                 self.assertEqual(daemon.state.limits._limited, {})
-                self.assertEqual(daemon.parts.notices._announced_at_s, {})
+                self.assertEqual(daemon.exchanges.notices._announced_at_s, {})
 
         for count in (3, 15, 42):
             run_with_daemons(count, scenario)
--- a/tests/test_stream_moves.py
+++ b/tests/test_stream_moves.py
@@ -108,7 +108,7 @@
         self.assertEqual(replicas[1].received[0].headers["last-event-id"], "2")
         former = relay.state.fleet.get("i-0")
         assert former is not None
-        self.assertEqual((former.in_flight, former.failures_in_row), (0, 0))
+        self.assertEqual((former.in_flight, former.consecutive_failures), (0, 0))
 
     async def test_a_stream_that_cannot_be_resumed_stays(self) -> None:
         stream = SlowStream()
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -196,7 +196,7 @@
     def test_a_refusal_expires_during_a_suspension(self) -> None:
         async def scenario(seconds: float) -> None:
             relay = RelayUnderTest()
-            ledger = relay.state.crashes.ledger
+            ledger = relay.state.crashes.history
             ledger.refuse(b"d", 1, relay.state.clock() + 4.0)
             stall_loop(seconds)
             refused = relay.state.crashes.refusal(b"d") is not None
--- a/tests/test_weights_rollout.py
+++ b/tests/test_weights_rollout.py
@@ -33,8 +33,8 @@
             fleet.name_version(2)
             await asyncio.sleep(8.0)
             self.assertEqual({replica.version for replica in replicas}, {2})
-            self.assertLess(len(fleet.news.sent), 60)
-            self.assertLess(sum(len(entries) for entries in fleet.news.sent), 45 * 6)
+            self.assertLess(len(fleet.exchange.sent), 60)
+            self.assertLess(sum(len(entries) for entries in fleet.exchange.sent), 45 * 6)
 
         run_virtually(scenario())
 
@@ -243,7 +243,7 @@
             replica = FakeReplica("r0")
             fleet = await Fleet.with_leader([replica])
             fleet.name_version(2)
-            while not fleet.news.sent:
+            while not fleet.exchange.sent:
                 await asyncio.sleep(0.001)
             fleet.name_version(3)
             await asyncio.sleep(5.0)
--- a/tests/weights_fleet.py
+++ b/tests/weights_fleet.py
@@ -141,9 +141,9 @@
         self.leadership = Leadership(self.store, "n1", 3.0, loop.time, random.Random(2), 1.0)
         self.leadership.record_no_entry(StorePosition())
         self.peers = PeerGroup(self.state, random.Random(3))
-        self.news = RecordingWeightsExchange(self.state, self.peers)
+        self.exchange = RecordingWeightsExchange(self.state, self.peers)
         self.rollout = WeightsRollout(
-            self.state, self.leadership, self.control, self.peers, self.news
+            self.state, self.leadership, self.control, self.peers, self.exchange
         )
         for replica in replicas:
             self.state.fleet.install(
--- a/winchfork/core/relay_replica.py
+++ b/winchfork/core/relay_replica.py
@@ -90,8 +90,8 @@
     peer_memory_tokens: int = 0
     latency_s: float = 0.0
     latency_at_s: float = 0.0
-    failures_in_row: int = 0
-    ejections_in_row: int = 0
+    consecutive_failures: int = 0
+    consecutive_ejections: int = 0
     ejected_until_s: float = 0.0
     loading_until_s: float = 0.0
     incarnation_state: IncarnationState = IncarnationState.CURRENT
@@ -189,8 +189,8 @@
 
     def record_success(self, latency_s: float, now_s: float) -> None:
         """Record a successful answer and its latency; resets failures and ejections in a row."""
-        self.failures_in_row = 0
-        self.ejections_in_row = 0
+        self.consecutive_failures = 0
+        self.consecutive_ejections = 0
         if self.latency_at_s:
             self.latency_s += _SAMPLE_WEIGHT * (latency_s - self.latency_s)
         else:
@@ -203,13 +203,13 @@
         A ``certain`` failure (a refused or unresponsive connection) ejects at once. Failures during
         an ejection do not extend it, because one event may fail many requests.
         """
-        self.failures_in_row += 1
+        self.consecutive_failures += 1
         if now_s < self.ejected_until_s:
             return False
-        if not certain and self.failures_in_row < FAILURES_TO_EJECT:
+        if not certain and self.consecutive_failures < FAILURES_TO_EJECT:
             return False
-        duration_s = min(MAX_EJECTION_S, EJECTION_S * 2.0**self.ejections_in_row)
-        self.ejections_in_row += 1
+        duration_s = min(MAX_EJECTION_S, EJECTION_S * 2.0**self.consecutive_ejections)
+        self.consecutive_ejections += 1
         self.ejected_until_s = now_s + duration_s
         return True
 
--- a/winchfork/core/sliding_retry_budget.py
+++ b/winchfork/core/sliding_retry_budget.py
@@ -37,7 +37,7 @@
         """Count a caller's request."""
         self._trimmed(self._requests, service, now_s).append(now_s)
 
-    def record_repeat(self, service: str, now_s: float) -> None:
+    def record_retry(self, service: str, now_s: float) -> None:
         """Count a retry that was sent regardless of the budget."""
         self._trimmed(self._retries, service, now_s).append(now_s)
 
@@ -59,7 +59,7 @@
         remaining = self.remaining(service, daemons, now_s)
         if remaining - reserve * (remaining + retries) < 1.0:
             return False
-        self.record_repeat(service, now_s)
+        self.record_retry(service, now_s)
         return True
 
     def _trimmed(self, counts: dict[str, deque[float]], service: str, now_s: float) -> deque[float]:
--- a/winchfork/core/software_plan.py
+++ b/winchfork/core/software_plan.py
@@ -77,7 +77,7 @@
     """
 
     elapsed_s: float
-    left_s: float
+    remaining_s: float
     stage_s: float
     new_replicas: int
     new_slots: int
@@ -105,7 +105,7 @@
     state: SoftwareState, view: RolloutView, limits: ExposureLimits
 ) -> RolloutStep | None:
     """Return the next record of a running rollout; None if none is due."""
-    if state.returning:
+    if state.targets_version_in_force:
         return _keep_version_in_force(state, view, limits)
     if view.stop_cause is StopCause.BAD:
         return RolloutStep(state.rolled_back(judged_bad=True), "the version was found bad")
@@ -168,9 +168,9 @@
     final = not bounded or _can_afford_all(state, view, limits)
     if view.stage_s >= PROPAGATION_S and idle and final:
         return RolloutStep(state.completed(), "the other versions are idle")
-    if view.left_s > FINAL_RECORD_MARGIN_S:
+    if view.remaining_s > FINAL_RECORD_MARGIN_S:
         return None
-    if state.returning or _has_capacity(view):
+    if state.targets_version_in_force or _has_capacity(view):
         return RolloutStep(state.completed(), "the time limit has passed")
     return RolloutStep(
         state.rolled_back(judged_bad=False),
@@ -179,7 +179,7 @@
 
 
 def _move_on(state: SoftwareState, view: RolloutView) -> RolloutStep | None:
-    if view.left_s <= FINAL_RECORD_MARGIN_S:
+    if view.remaining_s <= FINAL_RECORD_MARGIN_S:
         return RolloutStep(state.rolled_back(judged_bad=False), _timeout_reason(state, view))
     if view.stage_s < STAGE_S or not _has_capacity(view):
         return None
--- a/winchfork/core/software_state.py
+++ b/winchfork/core/software_state.py
@@ -91,7 +91,7 @@
         return self.phase is not SoftwarePhase.STABLE
 
     @property
-    def returning(self) -> bool:
+    def targets_version_in_force(self) -> bool:
         """Whether the order's target is the version in force."""
         return self.running and self.target == self.in_force
 
@@ -175,9 +175,9 @@
     then push the target over its share.
     """
     if state.phase is SoftwarePhase.MOVED:
-        fallback = "" if state.returning else state.in_force
+        fallback = "" if state.targets_version_in_force else state.in_force
         return VersionRule(state.target, fallback)
-    if on_target and state.phase is not SoftwarePhase.STABLE and not state.returning:
+    if on_target and state.phase is not SoftwarePhase.STABLE and not state.targets_version_in_force:
         return VersionRule(state.target, state.in_force, state.trial_replicas)
     return VersionRule(state.in_force)
 
--- a/winchfork/router/crash_exchange.py
+++ b/winchfork/router/crash_exchange.py
@@ -68,7 +68,7 @@
     def _resend_crash(self, incarnation: int, digests: tuple[bytes, ...]) -> None:
         """Resend the crashes that still count: a cleared one would be recorded anew."""
         now_s = self._state.clock()
-        ledger = self._tracker.ledger
+        ledger = self._tracker.history
         remaining = tuple(
             digest for digest in digests if ledger.has_crash(digest, incarnation, now_s)
         )
--- a/winchfork/router/crash_tracker.py
+++ b/winchfork/router/crash_tracker.py
@@ -44,8 +44,8 @@
     def __init__(self, daemon_id: str, clock: Callable[[], float]) -> None:
         self._daemon_id = daemon_id
         self._clock = clock
-        self.ledger = CrashHistory()
-        self.records = RefusalRecords(self.ledger, clock)
+        self.history = CrashHistory()
+        self.records = RefusalRecords(self.history, clock)
         self._broken_runs = BrokenRuns()
         self._suspect_runs = SuspectRuns()
         #: Called for each broken connection whose cause is not known yet.
@@ -62,7 +62,7 @@
 
     def refusal(self, digest: bytes, ran: RunState = RunState.NOT_RUN) -> Failure | None:
         """Return why a request must not be sent to any replica; None if it may be sent."""
-        if not self.ledger.is_refused(digest, self._clock()):
+        if not self.history.is_refused(digest, self._clock()):
             return None
         return FailureKind.CRASHES_REPLICAS.because(
             f"{CRASHES_TO_REFUSE} replicas crashed while running this request ({digest.hex()})",
@@ -73,17 +73,17 @@
     def crash_count(self, digest: bytes) -> int:
         """Return how many replicas have crashed under a request, unconfirmed crashes included."""
         now_s = self._clock()
-        return self.ledger.crash_count(digest, now_s) + self._broken_runs.count_unconfirmed(
+        return self.history.crash_count(digest, now_s) + self._broken_runs.count_unconfirmed(
             digest, now_s
         )
 
-    async def wait_until_resolved(self, digest: bytes, ends_at_s: float) -> None:
+    async def wait_until_resolved(self, digest: bytes, deadline_s: float) -> None:
         """Wait until it is known whether replicas crashed, if that decides on a retry.
 
         Wait at most ``MAX_RESOLVE_WAIT_S`` seconds and no longer than ``ends_at_s``, the attempt's
         deadline.
         """
-        until_s = min(self._clock() + MAX_RESOLVE_WAIT_S, ends_at_s)
+        until_s = min(self._clock() + MAX_RESOLVE_WAIT_S, deadline_s)
         while self._is_unresolved(digest) and self._clock() < until_s:
             await asyncio.sleep(RESOLVE_POLL_S)
 
@@ -92,7 +92,7 @@
         unconfirmed = self._broken_runs.count_unconfirmed(digest, now_s)
         return (
             bool(unconfirmed)
-            and self.ledger.crash_count(digest, now_s) + unconfirmed >= MAX_CRASHES_PER_ATTEMPT
+            and self.history.crash_count(digest, now_s) + unconfirmed >= MAX_CRASHES_PER_ATTEMPT
         )
 
     def may_run(self, digest: bytes) -> bool:
@@ -129,10 +129,10 @@
     def record_success(self, digest: bytes) -> None:
         """Record a complete answer, and clear the request."""
         now_s = self._clock()
-        self.ledger.record_success(digest, now_s)
+        self.history.record_success(digest, now_s)
         self._broken_runs.clear(digest)
-        crashes = self.ledger.crash_count(digest, now_s)
-        if self.ledger.clear(digest):
+        crashes = self.history.crash_count(digest, now_s)
+        if self.history.clear(digest):
             self.on_cleared(digest, crashes)
             if self.records.revision(bucket_key(digest)):
                 self.on_record_changed(digest, own=True)
@@ -179,18 +179,18 @@
         ``is_restored``: the store may have been restored from a backup, so that the record may be
         older than the one known here.
         """
-        newer = self.records.install_outdated(key, value, revision) if is_restored else None
+        newer = self.records.record_outdated(key, value, revision) if is_restored else None
         if newer is not None:
             self.on_record_changed(newer, own=False)
             return None
         failure = self.records.install(key, value, revision)
         digest = self.records.digest_at(key)
         now_s = self._clock()
-        if digest is None or not self.ledger.is_refused(digest, now_s):
+        if digest is None or not self.history.is_refused(digest, now_s):
             return failure
-        if self.ledger.succeeded_recently(digest, now_s):
+        if self.history.succeeded_recently(digest, now_s):
             # Refused by a daemon that had not received the success yet.
-            self.ledger.clear(digest)
+            self.history.clear(digest)
             self.on_cleared(digest, CRASHES_TO_REFUSE)
             self.on_record_changed(digest, own=True)
         return failure
@@ -198,7 +198,7 @@
     def handle_lost_record(self, key: str) -> None:
         """Handle a record that is missing from a restored store; have it rewritten if needed."""
         digest = self.records.remove_lost(key)
-        if digest is not None and not self.records.matches_ledger(digest):
+        if digest is not None and not self.records.matches_history(digest):
             self.on_record_changed(digest, own=False)
 
     def handle_crash_report(self, incarnation: int, digests: Iterable[bytes]) -> None:
@@ -214,30 +214,30 @@
 
     def handle_cleared(self, digest: bytes) -> None:
         """Clear a suspect whose run has succeeded at a peer."""
-        self.ledger.clear(digest)
+        self.history.clear(digest)
 
     def _record_crashes(self, incarnation: int, digests: Iterable[bytes], *, own: bool) -> None:
         now_s = self._clock()
         for digest in digests:
-            if not self.ledger.record_crash(digest, incarnation, now_s):
+            if not self.history.record_crash(digest, incarnation, now_s):
                 continue
-            crashes = self.ledger.crash_count(digest, now_s)
-            if self.ledger.succeeded_recently(digest, now_s):
-                self.ledger.clear(digest)
+            crashes = self.history.crash_count(digest, now_s)
+            if self.history.succeeded_recently(digest, now_s):
+                self.history.clear(digest)
                 self.on_cleared(digest, crashes)
                 continue
             if crashes >= CRASHES_TO_RUN_ALONE:
                 log_event(
                     "request_suspected", "WARNING", digest=digest.hex(), ends=crashes, own=own
                 )
-            if crashes >= CRASHES_TO_REFUSE and not self.ledger.is_refused(digest, now_s):
+            if crashes >= CRASHES_TO_REFUSE and not self.history.is_refused(digest, now_s):
                 self._refuse(digest, own=own)
 
     def _refuse(self, digest: bytes, *, own: bool) -> None:
-        times = self.ledger.times_refused(digest) + 1
-        for_s = self.ledger.refusal_s(times)
+        times = self.history.times_refused(digest) + 1
+        for_s = self.history.refusal_s(times)
         log_event("digest_refused", "WARNING", digest=digest.hex(), times=times, for_s=for_s)
-        self.ledger.refuse(digest, times, self._clock() + for_s)
+        self.history.refuse(digest, times, self._clock() + for_s)
         self.on_record_changed(digest, own=own)
 
 
--- a/winchfork/router/evidence_exchange.py
+++ b/winchfork/router/evidence_exchange.py
@@ -231,7 +231,7 @@
         evidence = self.evidence(record.service)
         received.evaluated_at_s = now_s
         alarm = received.test.evaluate(evidence, compare_latency=compares_times)
-        if record.returning or record.phase is SoftwarePhase.STABLE:
+        if record.targets_version_in_force or record.phase is SoftwarePhase.STABLE:
             return
         if alarm is not None:
             self._log_alarm(record, alarm, evidence)
--- a/winchfork/router/metrics.py
+++ b/winchfork/router/metrics.py
@@ -192,7 +192,7 @@
         #: Limit in requests a second, by replica.
         self.replica_limits: Callable[[], Mapping[str, float]] = dict
         #: Quota units that may be used now, by tenant.
-        self.quota_left: Callable[[], Mapping[str, float]] = dict
+        self.remaining_quotas: Callable[[], Mapping[str, float]] = dict
         self._gauges: list[_Gauge] = []
 
     def add_gauge(self, name: str, description: str, read: Callable[[], float]) -> None:
@@ -256,7 +256,7 @@
                 "winchfork_quota_left",
                 "Remaining quota units as estimated by this daemon, by tenant.",
                 "tenant",
-                self.quota_left(),
+                self.remaining_quotas(),
             ),
             (
                 "winchfork_software_share",
--- a/winchfork/router/outcomes.py
+++ b/winchfork/router/outcomes.py
@@ -65,8 +65,8 @@
     """The attempt was ended so that the request continues at another replica."""
 
 
-class StaleChoice(msgspec.Struct, frozen=True):
+class StalePlacement(msgspec.Struct, frozen=True):
     """The replica became unavailable while the connection was opened; nothing was sent."""
 
 
-Outcome = Delivered | NotRun | MayHaveRun | Stopped | Moved | StaleChoice
+Outcome = Delivered | NotRun | MayHaveRun | Stopped | Moved | StalePlacement
--- a/winchfork/router/process.py
+++ b/winchfork/router/process.py
@@ -199,7 +199,7 @@
         add("replicas", "Listed replicas.", lambda: len(state.fleet))
         add("parts_believed", "Prompt parts assumed to be cached.", lambda: len(state.parts))
         add("daemons", "Daemons that share the budgets.", lambda: state.daemon_count)
-        ledger = state.crashes.ledger
+        ledger = state.crashes.history
         add(
             "requests_suspected",
             "Requests during which a replica crashed.",
@@ -248,7 +248,7 @@
             "Bytes sent to peers in other regions.",
             lambda: self._peers.cross_region_bytes,
         )
-        state.metrics.quota_left = lambda: state.quotas.remaining(state.clock())
+        state.metrics.remaining_quotas = lambda: state.quotas.remaining(state.clock())
         counters = self._replica_pool.counters
         add("connections_opened", "Connections opened to replicas.", lambda: counters.opened)
         add("connections_failed", "Failed connection attempts.", lambda: counters.failed)
--- a/winchfork/router/quota_exchange.py
+++ b/winchfork/router/quota_exchange.py
@@ -37,7 +37,7 @@
 #: The same for a daemon that sees itself as a hub, as new daemons may until they know all members.
 HUB_STABILIZATION_S = 0.6
 #: The same in a full mesh, whose daemons know each other after a few probes.
-SMALL_FLEET_STABILIZATION_S = 1.5
+FULL_MESH_STABILIZATION_S = 1.5
 #: Part of its equal share that an isolated daemon uses: others use the whole until they notice.
 ISOLATED_SHARE = 0.25
 #: Seconds for which a daemon that has vanished may go on using quotas, if API keys never expire.
@@ -212,7 +212,7 @@
         """Whether this daemon is too new to know all members, and has no levels from a hub."""
         age_s = now_s - self._started_s
         if view.is_full_mesh and len(view.members) > 1:
-            return age_s <= SMALL_FLEET_STABILIZATION_S
+            return age_s <= FULL_MESH_STABILIZATION_S
         if self._hub_received_at_s is not None or age_s > STABILIZATION_S:
             return False
         return view.is_full_mesh or not view.is_hub or age_s <= HUB_STABILIZATION_S
--- a/winchfork/router/refusal_records.py
+++ b/winchfork/router/refusal_records.py
@@ -59,11 +59,11 @@
 
     def __init__(
         self,
-        ledger: CrashHistory,
+        history: CrashHistory,
         clock: Callable[[], float],
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
-        self._ledger = ledger
+        self._history = history
         self._clock = clock
         self._wall_clock = wall_clock
         self._records: dict[str, RefusalRecord] = {}
@@ -78,16 +78,16 @@
         record = self._records.get(key)
         return record.digest if record is not None else None
 
-    def matches_ledger(self, digest: bytes) -> bool:
+    def matches_history(self, digest: bytes) -> bool:
         """Whether the stored record of a request agrees with the crash history."""
         record = self._records.get(bucket_key(digest))
         stored = record.times if record is not None and record.digest == digest else 0
-        return stored == self._ledger.times_refused(digest)
+        return stored == self._history.times_refused(digest)
 
     def encode_record(self, digest: bytes) -> bytes:
         """Return the record to store for a request, from its current state, dated now."""
         now_ms = int(self._wall_clock() * 1000)
-        times = self._ledger.times_refused(digest)
+        times = self._history.times_refused(digest)
         return msgspec.json.encode(RefusalRecord(digest, now_ms, times))
 
     def install(self, key: str, value: bytes | None, revision: int) -> Failure | None:
@@ -107,10 +107,10 @@
         if record.times:
             self._install_refusal(record)
         else:
-            self._ledger.clear(record.digest)
+            self._history.clear(record.digest)
         return None
 
-    def install_outdated(self, key: str, value: bytes | None, revision: int) -> bytes | None:
+    def record_outdated(self, key: str, value: bytes | None, revision: int) -> bytes | None:
         """Record a bucket's entry that was restored from a backup, if a later record is known.
 
         The crash history stays unchanged. Returns the digest of the later record, or None if no
@@ -136,24 +136,24 @@
         return record.digest if record is not None else None
 
     def _install_refusal(self, record: RefusalRecord) -> None:
-        for_s = self._ledger.refusal_s(record.times)
+        for_s = self._history.refusal_s(record.times)
         age_s = max(0.0, self._wall_clock() - record.refused_ms / 1000.0)
-        if age_s > for_s + REPEATED_REFUSAL_S or record.times < self._ledger.times_refused(
+        if age_s > for_s + REPEATED_REFUSAL_S or record.times < self._history.times_refused(
             record.digest
         ):
             return
         now_s = self._clock()
-        if age_s < for_s and not self._ledger.is_refused(record.digest, now_s):
+        if age_s < for_s and not self._history.is_refused(record.digest, now_s):
             log_event(
                 "digest_refused", digest=record.digest.hex(), times=record.times, told_by="store"
             )
         # Also recorded after the refusal has expired: the request then counts as a suspect, and is
         # refused for longer if a replica crashes again.
-        self._ledger.refuse(record.digest, record.times, now_s + for_s - age_s)
+        self._history.refuse(record.digest, record.times, now_s + for_s - age_s)
 
     def _release(self, key: str) -> None:
         self._revisions.pop(key, None)
         record = self._records.pop(key, None)
         if record is not None:
-            self._ledger.clear(record.digest)
+            self._history.clear(record.digest)
             log_event("digest_released", digest=record.digest.hex())
--- a/winchfork/router/refusal_writer.py
+++ b/winchfork/router/refusal_writer.py
@@ -58,7 +58,7 @@
 
     async def _write(self, digest: bytes) -> None:
         records = self._state.crashes.records
-        if records.matches_ledger(digest):
+        if records.matches_history(digest):
             del self._due_at_s[digest]
             return
         key = bucket_key(digest)
--- a/winchfork/router/relayed_request.py
+++ b/winchfork/router/relayed_request.py
@@ -32,7 +32,7 @@
     Moved,
     NotRun,
     Outcome,
-    StaleChoice,
+    StalePlacement,
     StopCause,
     Stopped,
 )
@@ -191,7 +191,7 @@
         self._newer_weights = self._outcome_recorder.record_outcome(plan, outcome, self._record)
         return outcome
 
-    async def _connect(self, replica: RelayReplica) -> ReplicaConnection | NotRun | StaleChoice:
+    async def _connect(self, replica: RelayReplica) -> ReplicaConnection | NotRun | StalePlacement:
         """Return a connection, if the replica may still be sent the request once it is open."""
         pool = self._service.pool
         address = replica.listing.address
@@ -206,7 +206,7 @@
         if self._planner.is_available(replica, self._search.excluded()) and self._may_run():
             return connection
         pool.release(address, connection)
-        return StaleChoice()
+        return StalePlacement()
 
     def _count_sent(self, replica: RelayReplica) -> None:
         listing = replica.listing
@@ -252,7 +252,7 @@
             self._may_have_run = True
             self._attempted.add(replica.replica_id)
             return True
-        if isinstance(outcome, StaleChoice):
+        if isinstance(outcome, StalePlacement):
             return True
         if isinstance(outcome, NotRun):
             return self._handle_not_run(replica, outcome)
--- a/winchfork/router/software_rollout.py
+++ b/winchfork/router/software_rollout.py
@@ -174,7 +174,7 @@
         )
         return self._state.clock() - seen.since_s + assumed_s
 
-    def _left_s(self, record: SoftwareState, elapsed_s: float) -> float:
+    def _remaining_s(self, record: SoftwareState, elapsed_s: float) -> float:
         """Return the time until an order's time limit.
 
         This uses the age of the order if it is greater than ``elapsed_s``. Each record is dated
@@ -199,7 +199,7 @@
         elapsed_s = record.elapsed_s + self._age_s(seen)
         return RolloutView(
             elapsed_s=elapsed_s,
-            left_s=self._left_s(record, elapsed_s),
+            remaining_s=self._remaining_s(record, elapsed_s),
             stage_s=now_s - seen.since_s,
             new_replicas=len(new),
             new_slots=sum(item.listing.slots for item in new),
--- a/winchfork/router/software_versions.py
+++ b/winchfork/router/software_versions.py
@@ -252,7 +252,7 @@
         state = self.effective_state(service)
         if not state.in_force:
             return list(replicas)
-        if self.is_stopped(state) and not state.returning:
+        if self.is_stopped(state) and not state.targets_version_in_force:
             return _of_version(replicas, state.in_force)
         rule = version_rule(state, on_target=on_target and self._is_share_current(state))
         preferred = self._preferred_replicas(service, replicas, rule)
--- a/winchfork/router/state.py
+++ b/winchfork/router/state.py
@@ -255,7 +255,7 @@
                 "replica_ejected",
                 replica=replica.replica_id,
                 reason=reason,
-                failures=replica.failures_in_row,
+                failures=replica.consecutive_failures,
                 for_s=replica.ejected_until_s - now_s,
             )
             self.on_ejected(replica)
--- a/winchfork/router/weights_announcer.py
+++ b/winchfork/router/weights_announcer.py
@@ -17,7 +17,7 @@
 #: The same once a replica has accepted an order, which it carries out even if the leader is lost.
 ORDERED_HOLD_S = 4.0
 #: Seconds for which one message keeps long work away from the replicas that load next.
-NEXT_S = 1.0
+UPCOMING_LOAD_S = 1.0
 #: Seconds for which entries are collected into one message.
 BATCH_WINDOW_S = 0.005
 #: The same for renewals of holds.
@@ -67,8 +67,8 @@
 
     def prepare(self, replica: RelayReplica, model: str, fence: int) -> None:
         """Keep long work away from a replica that loads next."""
-        if replica.load_upcoming_until_s - self._clock() < NEXT_S / 2:
-            self._enqueue(replica, model, fence, 0.0, NEXT_S, BATCH_WINDOW_S)
+        if replica.load_upcoming_until_s - self._clock() < UPCOMING_LOAD_S / 2:
+            self._enqueue(replica, model, fence, 0.0, UPCOMING_LOAD_S, BATCH_WINDOW_S)
 
     def flush(self) -> None:
         """Send the collected entries."""
--- a/winchfork/router/work_exchange.py
+++ b/winchfork/router/work_exchange.py
@@ -48,7 +48,7 @@
 #: Seconds without a message of a zone's active hub after which its other hub sends.
 HUB_SILENCE_S = 0.7
 #: Seconds without a message after which a zone may be unreachable in a full mesh.
-DIRECT_SILENCE_S = 1.2
+FULL_MESH_SILENCE_S = 1.2
 #: Seconds without a message from any other zone after which this zone counts as isolated.
 ISOLATED_SILENCE_S = 1.2
 #: Cached parts in one message of a daemon, and of a hub for its zone.
@@ -149,7 +149,7 @@
     def _update_reachability(self, view: FleetView, now_s: float) -> None:
         """Detect unreachable zones, on a hub or in a full mesh."""
         if view.is_full_mesh or view.is_hub:
-            silence_s = DIRECT_SILENCE_S if view.is_full_mesh else SILENCE_TIMEOUT_S
+            silence_s = FULL_MESH_SILENCE_S if view.is_full_mesh else SILENCE_TIMEOUT_S
             reachability = self._state.zone_reachability
             self._state.zone_outage_handler.update_reachability(
                 reachability.detect_unreachable(now_s, silence_s),
--- a/winchfork/router/zone_outage_handler.py
+++ b/winchfork/router/zone_outage_handler.py
@@ -53,4 +53,4 @@
         for replica in self._state.fleet.replicas():
             if replica.listing.zone == zone and replica.ejected_until_s > now_s:
                 replica.ejected_until_s = now_s
-                replica.ejections_in_row = 0
+                replica.consecutive_ejections = 0
