--- a/tests/test_version_evidence.py
+++ b/tests/test_version_evidence.py
@@ -127,7 +127,7 @@
     def view(self, **changes: Any) -> RolloutView:
         elapsed_s = changes.setdefault("elapsed_s", 1.0)
         fields: dict[str, Any] = {
-            "left_s": self.DURATION_S - elapsed_s,
+            "remaining_s": self.DURATION_S - elapsed_s,
             "stage_s": 2.0,
             "new_replicas": 45,
             "new_slots": 1080,
