--- a/winchfork/cluster/__init__.py
+++ b/winchfork/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""How daemons act together: peer messages, membership, configuration relay, claims."""
+"""Coordination between daemons: peer messages, membership, shared documents, claims."""
--- a/winchfork/cluster/claim_client.py
+++ b/winchfork/cluster/claim_client.py
@@ -1,4 +1,4 @@
-"""Obtains the claim of a request that must not be repeated, over the peer network."""
+"""Obtains the claim to run a non-repeatable request, by a majority of the voters of its panel."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 )
 from winchfork.errors import Failure, FailureKind, RunState
 
-#: Times an outcome or a release is sent; the voters take doubled ones.
+#: Copies of an outcome or a release sent to each voter, against loss; voters ignore duplicates.
 _SENDS_PER_VOTER = 2
 
 
 @dataclasses.dataclass(frozen=True)
 class ClaimRequest:
-    """What is claimed: a key under its tenant, and whether the caller says it is the first send."""
+    """A tenant's idempotency key, and whether the caller states that this is its first send."""
 
     tenant: str
     idempotency_key: str
@@ -34,47 +34,47 @@
 
     @property
     def key(self) -> str:
-        """The key as voters see it: no tenant can touch another's."""
+        """The key prefixed with its tenant, so that the keys of two tenants never collide."""
         return f"{len(self.tenant)}:{self.tenant}|{self.idempotency_key}"
 
 
 @dataclasses.dataclass(frozen=True)
 class RecordedOutcome:
-    """The answer that an earlier attempt of the key received."""
+    """The encoded answer that an earlier attempt of the key received."""
 
     outcome: bytes
 
 
 class WonClaim:
-    """The right to dispatch once, or to abandon it instead."""
+    """A won claim, which can be dispatched once or abandoned."""
 
     def __init__(self, client: ClaimClient, claim: Claim) -> None:
         self._client = client
         self._claim = claim
 
     def dispatch(self) -> bool:
-        """Take the right; True once, and never after :meth:`abandon`."""
+        """Use the claim; return True the first time only, and never after :meth:`abandon`."""
         return self._claim.dispatch()
 
     def finish(self, outcome: bytes) -> None:
-        """Let the voters keep the answer for later retries of the key."""
+        """Send the answer to the voters, which record it for later retries of the key."""
         self._client.record_outcome(self._claim, outcome)
 
     def abandon(self, refusal: bytes) -> None:
-        """Never dispatch; the voters keep ``refusal`` as the key's answer."""
+        """Give the claim up undispatched; the voters record ``refusal`` as the key's answer."""
         if self._claim.abandon():
             self._client.record_outcome(self._claim, refusal)
 
 
 class ClaimClient:
-    """Claims keys for this daemon as ingress. Thread-safe."""
+    """Claims keys for the callers of this daemon. Thread-safe."""
 
     def __init__(self, node: PeerNode) -> None:
         self._node = node
         self._counter = itertools.count(1)
 
     def obtain(self, request: ClaimRequest) -> WonClaim | RecordedOutcome | Failure:
-        """Gather votes until won, answered from a kept outcome, or out of time."""
+        """Request votes until the claim is won, a recorded outcome is found, or the time is up."""
         state = self._node.state
         with state.lock:
             panel_id = panel_of_key(request.key, sorted(state.panels))
@@ -83,7 +83,7 @@
         if panel is None:
             return FailureKind.CLAIM_NO_MAJORITY.because(
                 "no voter panel is known yet",
-                remedy="come back after the given time",
+                remedy="retry after the given time",
                 ran=RunState.NOT_RUN if request.first_send else RunState.UNKNOWN,
                 retry_after_s=2.0,
             )
@@ -91,22 +91,22 @@
         claim = Claim(panel, request.key, issue_time_of_key(request.idempotency_key), attempt)
         changed = threading.Condition()
 
-        def hear(reply: VoteReply) -> None:
+        def on_reply(reply: VoteReply) -> None:
             with changed:
                 claim.on_vote_reply(reply)
                 changed.notify_all()
 
-        self._node.add_vote_listener(attempt, hear)
+        self._node.add_vote_listener(attempt, on_reply)
         try:
-            self._gather(claim, changed, request.timeout_s)
+            self._gather_votes(claim, changed, request.timeout_s)
         finally:
             self._node.remove_vote_listener(attempt)
         with changed:
             if claim.phase is ClaimPhase.WON:
                 return WonClaim(self, claim)
-            kept = claim.recorded_outcome
+            recorded = claim.recorded_outcome
             failure = self._release(claim, request.first_send)
-        return RecordedOutcome(kept) if kept is not None else failure
+        return RecordedOutcome(recorded) if recorded is not None else failure
 
     def record_outcome(self, claim: Claim, outcome: bytes) -> None:
         """Send the answer of a dispatched or abandoned attempt to the voters."""
@@ -124,15 +124,15 @@
                 self._node.send_to(voter, release)
         return failure
 
-    def _gather(self, claim: Claim, changed: threading.Condition, timeout_s: float) -> None:
+    def _gather_votes(self, claim: Claim, changed: threading.Condition, timeout_s: float) -> None:
         deadline_s = boot_seconds() + timeout_s
         while True:
             for voter in claim.voters_without_grant():
                 self._node.send_to(voter, claim.request)
-            left_s = deadline_s - boot_seconds()
+            remaining_s = deadline_s - boot_seconds()
             with changed:
-                settled = changed.wait_for(
-                    lambda: claim.is_decided, min(CLAIM_RESEND_PERIOD_S, max(0.0, left_s))
+                decided = changed.wait_for(
+                    lambda: claim.is_decided, min(CLAIM_RESEND_PERIOD_S, max(0.0, remaining_s))
                 )
-            if settled or left_s <= 0:
+            if decided or remaining_s <= 0:
                 return
--- a/winchfork/cluster/event_reader.py
+++ b/winchfork/cluster/event_reader.py
@@ -1,8 +1,8 @@
-"""Reads the event streams of the replicas that this daemon is the reader of.
+"""Reads the event streams of the replicas that are assigned to this daemon.
 
-Each replica's stream is read by one daemon, chosen by rendezvous over the live members, so the work
-divides by the number of daemons. The reader learns identity and load, folds the cache events, and
-passes beliefs to the owner of each prefix family.
+Each replica is read by one daemon, chosen by rendezvous hashing over the live members. The reader
+records the replica's identity and load, folds its cache events, and sends the resulting cached and
+removed blocks to the owner of each prefix family.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 from winchfork.logs import log_event
 
 _WORKERS = 8
-#: Block keys in one belief message.
+#: Bounds the cached keys, and the removed keys, in one :class:`CacheUpdate`.
 MAX_KEYS_PER_UPDATE = 512
 
 
 class _StreamPosition:
-    """Where the reader is in one replica's stream."""
+    """The reader's position in one replica's event stream."""
 
     def __init__(self, incarnation: int, next_sequence: int = 1) -> None:
         self.incarnation = incarnation
@@ -40,7 +40,7 @@
 
 
 class EventReader:
-    """Polls this daemon's share of the replicas."""
+    """Polls the engine replicas that are assigned to this daemon."""
 
     def __init__(self, node: PeerNode, engine: EnginePort) -> None:
         self._node = node
@@ -87,7 +87,7 @@
     def _poll(self, replica: Replica) -> None:
         try:
             self._read(replica)
-        except Exception as error:  # noqa: BLE001 - one replica's surprise must not stop the rest
+        except Exception as error:  # noqa: BLE001 - one replica's error must not stop the other polls
             log_event("event_read_failed", "ERROR", replica=replica.replica_id, error=repr(error))
 
     def _read(self, replica: Replica) -> None:
@@ -101,8 +101,8 @@
         self._record_report(replica, report, measured_at_s)
         if not report.accepting:
             self._mark_unavailable(replica, measured_at_s)
-        fresh = position is None or position.incarnation != report.identity.incarnation
-        if fresh or (position is not None and _has_gap(report, position.next_sequence)):
+        is_new_stream = position is None or position.incarnation != report.identity.incarnation
+        if is_new_stream or (position is not None and _has_gap(report, position.next_sequence)):
             self._resync(replica)
             return
         assert position is not None
@@ -128,8 +128,8 @@
                 if replica.state is ReplicaState.UNAVAILABLE:
                     replica.state = ReplicaState.ACCEPTING
                 state.loads.publish(replica.replica_id, report.load, measured_at_s)
-        # Against what the peers were told, not against what this daemon knows: the rollout leader,
-        # or a refused dispatch, may have changed the latter.
+        # Compared with the identity sent last, since a rollout or a refused dispatch may already
+        # have changed the one stored in this daemon.
         if self._sent_identities.get(replica.replica_id) != report.identity:
             self._sent_identities[replica.replica_id] = report.identity
             log_event(
@@ -141,7 +141,7 @@
             self._announce_identity(replica, report)
 
     def _announce_identity(self, replica: Replica, report: EngineReport) -> None:
-        note = ReplicaUpdate(
+        update = ReplicaUpdate(
             replica.replica_id,
             report.identity.incarnation,
             report.identity.weights_version,
@@ -149,10 +149,10 @@
             report.load.import_tokens_per_s,
         )
         for member in self._node.live_members(include_own=False):
-            self._node.transport.send(member.peer_address, note)
+            self._node.transport.send(member.peer_address, update)
 
     def _resync(self, replica: Replica) -> None:
-        """Replace what is believed of a replica by a snapshot, after a gap or at first contact."""
+        """Replace a replica's assumed cache contents by a snapshot, after a gap or a restart."""
         snapshot = self._engine.snapshot(replica.address)
         if isinstance(snapshot, Failure):
             return
@@ -162,25 +162,25 @@
             position.families.record_stored(parent, (key,))
         self._positions[replica.replica_id] = position
         folded = {key: True for key, _ in snapshot.blocks}
-        notes = self._updates_by_owner(replica, position, folded)
+        updates = self._updates_by_owner(replica, position, folded)
         for member in self._node.live_members():
-            first, *rest = notes.get(member.member_id) or [
+            first, *rest = updates.get(member.member_id) or [
                 CacheUpdate(replica.replica_id, position.incarnation, (), ())
             ]
             self._node.send_to(member.member_id, msgspec.structs.replace(first, reset=True))
-            for note in rest:
-                self._node.send_to(member.member_id, note)
+            for update in rest:
+                self._node.send_to(member.member_id, update)
         log_event("replica_resynced", replica=replica.replica_id, blocks=len(folded))
 
     def _forward(
         self, replica: Replica, position: _StreamPosition, events: tuple[CacheEvent, ...]
     ) -> None:
-        """Fold events to what holds at their end, and send each family's part to its owner."""
+        """Fold events to each block's last state, and send each family's blocks to its owner."""
         self.events_read += len(events)
         folded = position.families.apply_events(events)
-        for owner_id, notes in self._updates_by_owner(replica, position, folded).items():
-            for note in notes:
-                self._node.send_to(owner_id, note)
+        for owner_id, updates in self._updates_by_owner(replica, position, folded).items():
+            for update in updates:
+                self._node.send_to(owner_id, update)
         for key, stored in folded.items():
             if not stored:
                 position.families.forget(key)
@@ -197,11 +197,11 @@
                 owners[family] = rendezvous_owner(family, members)
             owner_id = owners[family]
             if owner_id is not None:
-                held, gone = keys.setdefault(owner_id, ([], []))
-                (held if stored else gone).append(key)
+                held, removed = keys.setdefault(owner_id, ([], []))
+                (held if stored else removed).append(key)
         return {
-            owner_id: _split_into_updates(replica.replica_id, position.incarnation, held, gone)
-            for owner_id, (held, gone) in keys.items()
+            owner_id: _split_into_updates(replica.replica_id, position.incarnation, held, removed)
+            for owner_id, (held, removed) in keys.items()
         }
 
 
--- a/winchfork/cluster/messages.py
+++ b/winchfork/cluster/messages.py
@@ -1,4 +1,4 @@
-"""Every message between daemons, in wire order. New types go at the end."""
+"""Every message type between daemons. The order is the wire's: add new types at the end."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LookupRequest(PeerMessage, frozen=True):
-    """An ingress asks a family's owner which replicas hold these blocks, and until which.
+    """Asks a family's owner which replicas hold a prefix of these blocks.
 
     ``block_keys`` start with the family's own key.
     """
@@ -27,17 +27,17 @@
 
 
 class LookupReply(PeerMessage, frozen=True):
-    """``matched`` maps replica ids to leading blocks believed held."""
+    """Maps replica ids to the number of leading blocks assumed cached, in ``matched``."""
 
     nonce: int
     matched: dict[str, int]
 
 
 class CacheUpdate(PeerMessage, frozen=True):
-    """Beliefs about one replica for their owner: from a dispatch, a reply or folded events.
+    """Changes of one replica's assumed cache contents, sent to the owner of the blocks' family.
 
-    ``held`` blocks are there, ``gone`` blocks are not, both under ``incarnation``. ``reset`` drops
-    every earlier belief about the replica first.
+    ``held`` blocks are cached and ``removed`` blocks are not, both under ``incarnation``. With
+    ``reset``, the receiver first drops all that it assumed cached on the replica.
     """
 
     replica_id: str
@@ -48,7 +48,7 @@
 
 
 class ReplicaUpdate(PeerMessage, frozen=True):
-    """A replica's identity as its reader saw it, passed to the region's daemons on change."""
+    """A replica's identity and speeds; its reader sends them to all daemons on a new identity."""
 
     replica_id: str
     incarnation: int
@@ -58,13 +58,13 @@
 
 
 class DocumentAnnouncement(PeerMessage, frozen=True):
-    """Tells the sender's document revisions at once when one has changed."""
+    """Announces the sender's document revisions as soon as one has changed."""
 
     revisions: tuple[int, ...]
 
 
 class DocumentPull(PeerMessage, frozen=True):
-    """Asks for a part of a document, at least at ``revision``."""
+    """Asks for the part at ``offset`` of a document whose revision is at least ``revision``."""
 
     name: str
     revision: int
@@ -72,7 +72,7 @@
 
 
 class DocumentPart(PeerMessage, frozen=True):
-    """One part of a document's text at one revision."""
+    """One part of a document's text at one revision; ``total`` is the text's length in bytes."""
 
     name: str
     revision: int
@@ -82,14 +82,14 @@
 
 
 class ExplainRequest(PeerMessage, frozen=True):
-    """Asks whether the peer knows a request's decisions."""
+    """Asks for the peer's decision log of a request."""
 
     nonce: int
     request_id: str
 
 
 class ExplainReply(PeerMessage, frozen=True):
-    """``steps`` is the decision log's JSON text, empty when unknown."""
+    """Carries the decision log as JSON text, empty when the request is unknown."""
 
     nonce: int
     steps: str
--- a/winchfork/cluster/node.py
+++ b/winchfork/cluster/node.py
@@ -1,4 +1,4 @@
-"""The peer node: takes peer messages to the state they are for and sends what follows."""
+"""Handles peer messages: applies each to the daemon's state and sends the replies."""
 
 from __future__ import annotations
 
@@ -40,13 +40,13 @@
 from winchfork.core.member import IndirectProbe, Member, MemberStatus, Outgoing, Probe, ProbeReply
 from winchfork.core.rendezvous import rendezvous_owner, rendezvous_rank
 
-#: Peers told at once when a document changes; with each doing the same, n daemons hear in about
-#: log(n) / log(NOTICE_FANOUT) hops.
+#: Peers that receive an announcement at once when a document changes. Each does the same, so an
+#: announcement reaches n daemons in about log(n) / log(ANNOUNCE_FANOUT) hops.
 ANNOUNCE_FANOUT = 4
 
 
 class PeerNode:
-    """Drives the cluster duties of one daemon."""
+    """Runs membership and handles the peer messages of one daemon."""
 
     def __init__(
         self, state: DaemonState, transport: PeerTransport, generator: random.Random
@@ -95,7 +95,7 @@
             self._send_all(outgoing)
 
     def stop(self) -> None:
-        """Tell the peers that this daemon leaves, then stop."""
+        """Announce to the peers that this daemon leaves, then stop."""
         with self.state.lock:
             self.state.membership.leave()
             members = self.live_members(include_own=False)
@@ -109,18 +109,18 @@
         self.transport.close()
 
     def stop_at_once(self) -> None:
-        """Stop without telling anyone, as a crash would."""
+        """Stop without an announcement, as in a crash."""
         self._stopping.set()
         self.transport.close()
 
     def on_message(self, message: Any, sender: str) -> None:
-        """Take one message."""
+        """Handle one message; ``sender`` is its source address."""
         self._handlers[type(message)](message, sender)
 
     # --- members and owners ---
 
     def live_members(self, *, include_own: bool = True) -> list[Member]:
-        """Return the members that work and stay, by id."""
+        """Return the members that are alive and not leaving, ordered by id."""
         with self.state.lock:
             members = self.state.membership.members(include_leaving=False)
             own_id = self.state.own_id
@@ -131,13 +131,13 @@
         ]
 
     def owner_of(self, key: int | str) -> Member | None:
-        """Return the member that owns a prefix family or reads a replica."""
+        """Return the live member that owns a prefix family, or that reads a replica."""
         members = {member.member_id: member for member in self.live_members()}
         owner = rendezvous_owner(key, members)
         return members.get(owner) if owner is not None else None
 
     def is_relay(self, duty: str, relays: int) -> bool:
-        """Tell whether this daemon is one of its zone's ``relays`` for a duty."""
+        """Return whether this daemon is one of its zone's ``relays`` daemons for a duty."""
         own = self.state.membership.own
         zone_members = [
             member.member_id for member in self.live_members() if member.zone == own.zone
@@ -145,7 +145,7 @@
         return own.member_id in rendezvous_rank(duty, zone_members)[:relays]
 
     def send_to(self, member_id: str, message: Any) -> None:
-        """Send to a member, or handle at once when it is this daemon."""
+        """Send to a member; a message to this daemon itself is handled at once."""
         if member_id == self.state.own_id:
             self.on_message(message, self.transport.address)
             return
@@ -155,15 +155,15 @@
             self.transport.send(member.peer_address, message)
 
     def install_document(self, name: DocumentName, document: Document) -> bool:
-        """Put a document in force here and tell a few peers at once."""
+        """Install a newer document and announce it to a few peers; False when it is not newer."""
         if not self.state.install_document(name, document):
             return False
         with self.state.lock:
-            notice = DocumentAnnouncement(self.state.documents.revisions())
+            announcement = DocumentAnnouncement(self.state.documents.revisions())
         members = self.live_members(include_own=False)
         chosen = self._generator.sample(members, min(ANNOUNCE_FANOUT, len(members)))
         for member in chosen:
-            self.transport.send(member.peer_address, notice)
+            self.transport.send(member.peer_address, announcement)
         return True
 
     # --- votes ---
@@ -173,7 +173,7 @@
         self._vote_listeners[attempt] = listener
 
     def remove_vote_listener(self, attempt: str) -> None:
-        """Drop later replies of an attempt."""
+        """Ignore later replies of an attempt."""
         self._vote_listeners.pop(attempt, None)
 
     def set_seal_listener(self, panel_id: str, listener: Callable[[SealReply], None]) -> None:
--- a/winchfork/cluster/panel_manager.py
+++ b/winchfork/cluster/panel_manager.py
@@ -1,8 +1,8 @@
 """Forms voter panels and replaces their dead voters.
 
-Every relay runs this duty; the store's compare-and-swap decides between them, so no leader is
-needed. A change takes three steps, each safe to repeat by anyone: write the intent, collect seals
-until the epoch is sealed, write the next epoch. An intent is carried out, never withdrawn.
+Every relay runs this duty without a leader; the store's compare-and-swap orders their writes. A
+change takes three steps, each of which any relay may repeat: write the intent, collect seals until
+the epoch is sealed, write the next epoch. An intent is never withdrawn.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 from winchfork.stores.key_value import Entry, KeyValueStore
 
 _RECONCILE_PERIOD_S = 1.0
-#: A voter is replaced when it has been gone this long; a restart takes seconds.
+#: Time without a sighting after which a voter is replaced; longer than a restart.
 REPLACE_AFTER_S = 60.0
-#: Panels are not formed before the members had time to find each other.
+#: Delay after the start before panels are formed, so that membership is complete.
 _FORM_AFTER_S = 3.0
 
 
 class PanelManager:
-    """Reconciles the region's panels with its members."""
+    """Keeps the region's panels in agreement with its members."""
 
     def __init__(
         self, node: PeerNode, store: KeyValueStore, replace_after_s: float = REPLACE_AFTER_S
@@ -50,7 +50,7 @@
             try:
                 if self._node.is_relay("panels", RELAYS_PER_ZONE):
                     self._reconcile()
-            except Exception as error:  # noqa: BLE001 - a surprise must not end the duty
+            except Exception as error:  # noqa: BLE001 - an error must not end the thread
                 log_event("panel_pass_failed", "ERROR", error=repr(error))
 
     def stop(self) -> None:
@@ -71,7 +71,7 @@
         for panel in panels:
             self._reconcile_panel(panel, members, now_s)
 
-    # --- forming ---
+    # --- formation ---
 
     def _form(self, members: dict[str, Member]) -> None:
         stored = self._store.list(panel_prefix(self._region))
@@ -82,17 +82,17 @@
             self._store.compare_and_swap(panel_key(self._region, panel.panel_id), text, 0)
         self._reload_panels()
 
-    # --- changing ---
+    # --- change of a panel ---
 
     def _reconcile_panel(self, panel: VoterPanel, members: dict[str, Member], now_s: float) -> None:
-        gone = [
+        dead_voters = [
             voter
             for voter in panel.voters
             if now_s - self._last_seen_s.get(voter, self._started_s) > self._replace_after_s
         ]
         with self._node.state.lock:
             changing = panel.panel_id in self._node.state.changing_panel_ids
-        if not gone and not changing:
+        if not dead_voters and not changing:
             return
         entry = self._store.get(panel_key(self._region, panel.panel_id))
         if not isinstance(entry, Entry):
@@ -103,7 +103,7 @@
             self._reload_panels()
             return
         if stored["intent"] is None:
-            self._write_intent(panel, entry, gone, members)
+            self._write_intent(panel, entry, dead_voters, members)
             return
         self._collect_seals(panel)
         if epoch_is_sealed(panel, self._seals[panel.panel_id]):
@@ -124,20 +124,20 @@
     def _collect_seals(self, panel: VoterPanel) -> None:
         replies = self._seals.setdefault(panel.panel_id, {})
 
-        def hear(reply: SealReply) -> None:
+        def on_reply(reply: SealReply) -> None:
             known = replies.get(reply.voter)
             newer = known is None or reply.incarnation >= known.incarnation
             if reply.epoch == panel.epoch and newer:
                 replies[reply.voter] = reply
 
-        self._node.set_seal_listener(panel.panel_id, hear)
+        self._node.set_seal_listener(panel.panel_id, on_reply)
         for voter in panel.voters:
             self._node.send_to(voter, SealRequest(panel.panel_id, panel.epoch))
         self._stopping.wait(0.2)
 
     def _activate(self, panel: VoterPanel, entry: Entry, voters: list[str]) -> None:
-        # The new voters have authority only for keys stamped after this moment plus the margin;
-        # every seal was given before it.
+        # The new voters may vote only on keys stamped later than this time plus the margin, and
+        # every seal of the old epoch was given before it.
         successor = VoterPanel(panel.panel_id, panel.epoch + 1, tuple(voters), time.time())
         text = json.dumps(panel_to_json(successor, None)).encode()
         result = self._store.compare_and_swap(entry.key, text, entry.revision)
@@ -153,7 +153,7 @@
 
 
 def plan_panels(members: dict[str, Member], voters: int) -> list[VoterPanel]:
-    """Cut the members into panels of one voter a zone; empty while there are too few zones."""
+    """Group the members into panels with one voter a zone; empty while there are too few zones."""
     by_zone: dict[str, list[str]] = {}
     for member in members.values():
         by_zone.setdefault(member.zone, []).append(member.member_id)
@@ -162,7 +162,7 @@
     zones = [sorted(by_zone[zone]) for zone in sorted(by_zone)]
     panels: list[VoterPanel] = []
     while sum(1 for zone in zones if zone) >= voters:
-        # The fullest zones give the next voters, so that as many panels as possible come out.
+        # Taking voters from the largest zones first gives the most panels.
         zones.sort(key=lambda zone: (-len(zone), zone))
         chosen = tuple(zone.pop(0) for zone in zones[:voters])
         panels.append(VoterPanel(f"p{len(panels)}", 1, chosen))
@@ -172,7 +172,7 @@
 def replace_voters(
     panel: VoterPanel, dead_voters: list[str], members: dict[str, Member]
 ) -> tuple[str, ...] | None:
-    """Return the next voters, keeping zones apart; None when no member can step in."""
+    """Return the next voters, each from a different zone; None when a replacement is missing."""
     staying = [voter for voter in panel.voters if voter not in dead_voters]
     taken_zones = {members[voter].zone for voter in staying if voter in members}
     result = list(staying)
--- a/winchfork/cluster/panel_store.py
+++ b/winchfork/cluster/panel_store.py
@@ -1,4 +1,4 @@
-"""Voter panels in the key-value service: their keys, their stored form, and reading them all."""
+"""Voter panels in the key-value store: keys, stored form, and reading a region's panels."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def panel_prefix(region: str) -> str:
-    """Return the prefix of a region's panels."""
+    """Return the key prefix of a region's panels."""
     return f"{_PREFIX}/{region}/"
 
 
@@ -24,7 +24,7 @@
 
 
 def panel_to_json(panel: VoterPanel, intent: list[str] | None) -> dict[str, Any]:
-    """Return the stored form; ``intent`` names the next voters while a change is under way."""
+    """Return the stored form; ``intent`` names the next voters during a change."""
     return {
         "panel_id": panel.panel_id,
         "epoch": panel.epoch,
--- a/winchfork/cluster/placement_lookup.py
+++ b/winchfork/cluster/placement_lookup.py
@@ -1,7 +1,7 @@
-"""Placement lookups at the owner of a prefix family, with a local fall-back.
+"""Looks up, at the owner of a prompt's prefix family, which replicas have cached the prompt.
 
-The owner holds the beliefs for the family. When it is slow, dead or just restarted, the ingress
-decides alone from its own beliefs and the family's rendezvous order, at once.
+The owner keeps the family's index of cached blocks. When it does not reply within
+``LOOKUP_TIMEOUT_S``, the lookup falls back to this daemon's own index.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class LookupSource(enum.Enum):
-    """Where the matches came from."""
+    """The index that gave the matches."""
 
     OWN = "own"
     OWNER = "owner"
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LookupResult:
-    """Leading cached blocks by replica, and who said so."""
+    """Numbers of leading cached blocks by replica id, and where they come from."""
 
     matched: dict[str, int]
     source: LookupSource
@@ -36,13 +36,13 @@
 
 
 class PlacementLookup:
-    """Asks owners and tells them of dispatches. Thread-safe."""
+    """Queries the owners of prefix families and reports dispatches to them. Thread-safe."""
 
     def __init__(self, node: PeerNode) -> None:
         self._node = node
 
     def find(self, prefix: PromptPrefix) -> LookupResult:
-        """Return which replicas hold how much of the prompt."""
+        """Return how many leading blocks of the prompt each replica has cached."""
         if not prefix.block_keys:
             return LookupResult({}, LookupSource.NO_FULL_BLOCK, "")
         above, keys = keys_from_family(prefix)
@@ -69,14 +69,14 @@
     def report_dispatch(
         self, prefix: PromptPrefix, replica_id: str, identity: ReplicaIdentity
     ) -> None:
-        """Tell the owner that a replica is about to hold the prompt's blocks."""
+        """Report to the owner that a replica is about to cache the prompt's blocks."""
         if not prefix.block_keys:
             return
         _, keys = keys_from_family(prefix)
-        note = CacheUpdate(replica_id, identity.incarnation, tuple(keys), ())
+        update = CacheUpdate(replica_id, identity.incarnation, tuple(keys), ())
         state = self._node.state
         with state.lock:
-            state.index.assume_stored(note.replica_id, note.incarnation, note.held)
+            state.index.assume_stored(update.replica_id, update.incarnation, update.held)
         owner = self._node.owner_of(prefix.family)
         if owner is not None and owner.member_id != state.own_id:
-            self._node.transport.send(owner.peer_address, note)
+            self._node.transport.send(owner.peer_address, update)
--- a/winchfork/cluster/platform_sync.py
+++ b/winchfork/cluster/platform_sync.py
@@ -1,8 +1,8 @@
-"""Keeps the region's documents in step with the platform, on the relay daemons only.
+"""Copies configuration, machine list and voter panels from the platform into the documents.
 
-A relay watches the configuration and reads the machine list once a period. Any daemon that is in a
-voter panel and not certified reads its panel itself, since only an own read shows whether a change
-is intended.
+Only relays do so: they watch the configuration, and read the machine list and the panels once a
+period. A voter that is not certified reads its panel itself, relay or not, since only its own read
+of the store shows whether a change of the panel is intended.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class PlatformSync:
-    """Threads that read the platform while this daemon is a relay."""
+    """The threads that read the platform."""
 
     def __init__(self, node: PeerNode, store: KeyValueStore, machines: MachineSource) -> None:
         self._node = node
@@ -47,7 +47,7 @@
         self._pool.shutdown(wait=False, cancel_futures=True)
 
     def read_configuration(self) -> Failure | None:
-        """Read the configuration once and put it in force."""
+        """Read the configuration once and install it."""
         entry = self._store.get(CONFIGURATION_KEY)
         if isinstance(entry, Failure):
             return entry
@@ -60,7 +60,7 @@
         while not self._stopping.is_set():
             try:
                 loop()
-            except Exception as error:  # noqa: BLE001 - a surprise must not end a sync thread
+            except Exception as error:  # noqa: BLE001 - an error must not end a sync thread
                 log_event("platform_sync_failed", "ERROR", error=repr(error))
                 self._stopping.wait(1.0)
 
@@ -97,7 +97,7 @@
         self._node.install_document(DocumentName.MACHINES, Document(listed.revision, text))
 
     def _run_configuration(self) -> None:
-        """Read, then watch; a broken watch starts over with a read, so nothing is missed."""
+        """Read, then watch; read again after a broken watch, so that no change is missed."""
         while not self._stopping.is_set():
             if self._is_relay() and self.read_configuration() is None:
                 with self._node.state.lock:
@@ -132,7 +132,7 @@
             self._node.install_document(DocumentName.PANELS, document)
 
     def _certify_voters(self) -> None:
-        """Ask the store, and the other voters, for each panel where this daemon may not vote."""
+        """Seek certification from voters and store for each panel where this daemon needs it."""
         state = self._node.state
         with state.lock:
             uncertified = [voter for voter in state.voters.values() if not voter.may_vote]
--- a/winchfork/cluster/state.py
+++ b/winchfork/cluster/state.py
@@ -1,7 +1,7 @@
-"""Everything one daemon knows, behind one lock.
+"""The shared state of one daemon, behind one lock.
 
-The core's objects are not thread-safe; every access goes through ``DaemonState.lock``, held only
-for in-memory steps and never across I/O.
+The objects of ``winchfork.core`` are not thread-safe: every access holds ``DaemonState.lock``, and
+nobody holds it across I/O.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class DaemonState:
-    """The state of one daemon. ``started_at_s`` is wall time and sets the incarnation."""
+    """The state of one daemon; ``started_at_s`` is wall-clock time."""
 
     def __init__(self, settings: Settings, own: Member, generator: random.Random) -> None:
         self.lock = threading.RLock()
@@ -69,7 +69,7 @@
         return self.membership.own.member_id
 
     def claim_margins(self) -> ClaimMargins:
-        """Return the margins from the settings."""
+        """Return the time margins of claims, from the settings."""
         claims = self.settings.claims
         return ClaimMargins(claims.future_margin_s, claims.restart_margin_s, claims.retention_s)
 
@@ -81,7 +81,7 @@
         log_event(step, "DEBUG", request=request_id, reason=reason, **_scalars(details))
 
     def install_document(self, name: DocumentName, document: Document) -> bool:
-        """Take a newer document and put its contents in force; False when it is not newer."""
+        """Store a newer document and apply its contents; False when it is not newer."""
         with self.lock:
             if not self.documents.install(name, document):
                 return False
@@ -95,7 +95,7 @@
         return True
 
     def refresh_replica_states(self) -> None:
-        """Recompute which back ends may get new work; call with the lock held."""
+        """Recompute which replicas are leaving; the caller holds the lock."""
         draining = set(self.configuration.current.configuration.draining)
         for replica in self.fleet.replicas():
             leaving = replica.replica_id in draining or replica.replica_id in self._leaving
@@ -159,7 +159,7 @@
 
 def _policy(name: str, generator: random.Random) -> PlacementPolicy:
     policy = make_policy(name, generator)
-    assert not isinstance(policy, Failure), "settings have checked the name"
+    assert not isinstance(policy, Failure), "the settings accept only known policies"
     return policy
 
 
--- a/winchfork/cluster/transport.py
+++ b/winchfork/cluster/transport.py
@@ -1,4 +1,4 @@
-"""UDP transport of the peer protocol, with request-reply matching by nonce."""
+"""UDP transport of the peer protocol; replies are matched to requests by nonce."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class PeerTransport:
-    """One socket; ``on_message`` runs on the receiving thread and must be quick."""
+    """Sends and receives datagrams on one socket."""
 
     def __init__(self, address: str, codec: PeerCodec) -> None:
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -46,7 +46,7 @@
         self.received_bytes = 0
 
     def send(self, address: str, message: Any) -> None:
-        """Send one datagram; loss is the receiver's to notice."""
+        """Send one datagram without acknowledgement; a failed send is logged."""
         datagram = self._codec.encode(message)
         if isinstance(datagram, Failure):
             log_event("peer_send_failed", "WARNING", failure=datagram)
@@ -62,7 +62,7 @@
     def request(
         self, address: str, make_request: Callable[[int], Any], timeout_s: float
     ) -> Any | Failure:
-        """Send a request carrying a fresh nonce and wait for the reply with the same nonce."""
+        """Send a request with a new nonce and wait for the reply that carries it."""
         nonce = next(self._nonces)
         future: Future[Any] = Future()
         with self._lock:
@@ -72,21 +72,21 @@
             return future.result(timeout=timeout_s)
         except TimeoutError:
             return FailureKind.BACKEND_UNREACHABLE.because(
-                f"no reply from {address} in {timeout_s} s"
+                f"no reply from {address} within {timeout_s} s"
             )
         finally:
             with self._lock:
                 self._pending_replies.pop(nonce, None)
 
     def resolve(self, nonce: int, reply: Any) -> None:
-        """Hand a reply to whoever waits for its nonce; a late one is dropped."""
+        """Pass a reply to the request that waits for its nonce; a late reply is dropped."""
         with self._lock:
             future = self._pending_replies.get(nonce)
         if future is not None and not future.done():
             future.set_result(reply)
 
     def run(self, on_message: Callable[[Any, str], None]) -> None:
-        """Receive until closed; the body of one thread."""
+        """Receive until closed; the body of one thread, which ``on_message`` must not block."""
         while not self._stopping.is_set():
             try:
                 datagram, (host, port) = self._socket.recvfrom(_RECEIVE_BYTES)
--- a/winchfork/cluster/waiting_store.py
+++ b/winchfork/cluster/waiting_store.py
@@ -1,4 +1,4 @@
-"""Waiting work in the key-value service: batches, shared prompt heads, answers, owners."""
+"""Waiting requests in the key-value store: batches, shared prompt heads, answers, owners."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class WaitingStore:
-    """Reads and writes one region's waiting work. Thread-safe."""
+    """Reads and writes one region's waiting requests. Thread-safe."""
 
     def __init__(self, store: KeyValueStore, region: str, keep_trying: Callable[[], bool]) -> None:
         self._store = store
@@ -24,7 +24,7 @@
         self._lock = threading.Lock()
 
     def put_head(self, digest: str, head: str) -> Failure | None:
-        """Store a prompt head once; heads are named by their content."""
+        """Store a prompt head under the digest of its content, unless it is stored already."""
         with self._lock:
             if digest in self._known_heads:
                 return None
@@ -48,7 +48,7 @@
         return entry.value.decode()
 
     def put_batch(self, batch: WaitingBatch) -> Failure | None:
-        """Write a batch; None only when it is surely stored."""
+        """Write a batch; None means that it is known to be stored."""
         text = batch.to_text()
         key = self._key("batches", batch.batch_id)
         result = compare_and_swap_until_resolved(
@@ -57,14 +57,14 @@
         return result if isinstance(result, Failure) else None
 
     def list_batches(self) -> list[WaitingBatch] | Failure:
-        """Read every batch that is not finished."""
+        """Return every unfinished batch."""
         entries = self._store.list(self._prefix + "batches/")
         if isinstance(entries, Failure):
             return entries
         return [WaitingBatch.from_text(entry.value) for entry in entries]
 
     def get_batch(self, batch_id: str) -> WaitingBatch | None | Failure:
-        """Read one unfinished batch; None when it is finished or never was."""
+        """Return one unfinished batch; None when it is finished or was never stored."""
         entry = self._store.get(self._key("batches", batch_id))
         return WaitingBatch.from_text(entry.value) if isinstance(entry, Entry) else entry
 
@@ -85,31 +85,33 @@
     def record_answers(
         self, batch_id: str, answers: dict[int, WaitingAnswer]
     ) -> BatchAnswers | Failure:
-        """Add answers to those recorded; an answer that is there already stays."""
+        """Record answers and return all recorded ones; a recorded answer is never replaced."""
         key = self._key("answers", batch_id)
         while True:
             entry = self._store.get(key)
             if isinstance(entry, Failure):
                 return entry
-            sheet = BatchAnswers() if entry is None else BatchAnswers.from_text(entry.value)
-            fresh = [number for number, answer in answers.items() if sheet.record(number, answer)]
-            if not fresh:
-                return sheet
-            text = sheet.to_text()
+            recorded = BatchAnswers() if entry is None else BatchAnswers.from_text(entry.value)
+            added = [
+                number for number, answer in answers.items() if recorded.record(number, answer)
+            ]
+            if not added:
+                return recorded
+            text = recorded.to_text()
             written = self._store.compare_and_swap(key, text, entry.revision if entry else 0)
             if not isinstance(written, Failure):
-                return sheet
+                return recorded
             if written.kind is not FailureKind.REVISION_CONFLICT:
                 return written
 
     def acquire_ownership(self, batch_id: str, owner_id: str, lease_id: int) -> bool:
-        """Become a batch's owner for as long as the lease lasts; False when it has one."""
+        """Make a daemon the batch's owner under its lease; False when that is not confirmed."""
         key = self._key("owners", batch_id)
         written = self._store.compare_and_swap(key, owner_id.encode(), 0, lease_id)
         return not isinstance(written, Failure)
 
     def has_owner(self, batch_id: str) -> bool:
-        """Tell whether a batch has an owner; when the store does not say, it counts as owned."""
+        """Return whether a batch has an owner; it counts as owned when the store cannot be read."""
         return self._store.get(self._key("owners", batch_id)) is not None
 
     def _key(self, kind: str, name: str) -> str:
--- a/winchfork/cluster/waiting_work.py
+++ b/winchfork/cluster/waiting_work.py
@@ -1,9 +1,9 @@
-"""Accepts, runs and answers work that may wait, across crashes of any daemon.
+"""Stores, runs and answers requests that may wait; they survive the crash of any daemon.
 
-Acceptance is said only when the request is stored. The accepting daemon owns the batch under its
-lease; when the lease lapses, another daemon takes the batch over and runs what has no answer yet.
-An answer is recorded by compare-and-swap, and the first one stays, so a caller sees one answer
-whoever ran the request.
+A request is accepted only once it is stored. The accepting daemon owns its batch under a lease;
+when the lease expires, another daemon takes the batch over and runs the requests without an answer.
+Answers are recorded by compare-and-swap and the first one stays, so that a caller always gets the
+same answer.
 """
 
 from __future__ import annotations
@@ -30,20 +30,20 @@
 from winchfork.logs import log_event
 from winchfork.stores.key_value import KeyValueStore
 
-#: Requests are gathered this long before one write accepts them all.
+#: Requests that arrive within this time are stored by one write.
 GROUP_COMMIT_S = 0.1
 LEASE_S = 6
 _RENEW_PERIOD_S = 2.0
 _RECORD_PERIOD_S = 0.5
 _MAX_WRITE_WAIT_S = 4.0
-#: Requests of waiting work that one daemon runs at a time.
+#: Waiting requests that one daemon runs at a time.
 MAX_RUNNING_REQUESTS = 8
 
 RunRequest = Callable[[WaitingRequest, str, str], WaitingAnswer | Failure]
 
 
 class _PendingBatch:
-    """Requests gathered for the next batch."""
+    """Requests for the next batch; ``stored`` resolves when that is written."""
 
     def __init__(self) -> None:
         self.requests: list[WaitingRequest] = []
@@ -52,7 +52,7 @@
 
 
 class WaitingWork:
-    """The waiting work of one daemon. Thread-safe."""
+    """The waiting requests of one daemon. Thread-safe."""
 
     def __init__(self, node: PeerNode, store: KeyValueStore, run_request: RunRequest) -> None:
         self._node = node
@@ -73,7 +73,7 @@
     # --- callers ---
 
     def accept(self, request: WaitingRequest, prompt: str) -> str | Failure:
-        """Store a request and return its id; a failure means that it was not accepted."""
+        """Store a request and return its id, or why it was not accepted."""
         digest, head, tail = split_prompt(prompt)
         if digest:
             failure = self._store.put_head(digest, head)
@@ -96,7 +96,7 @@
         return result.request_id(number)
 
     def find(self, request_id: str, tenant: str) -> WaitingAnswer | None | Failure:
-        """Return a request's answer, or None while it waits; only its own tenant may ask."""
+        """Return a request's answer, or None while it waits; only its own tenant finds it."""
         parsed = parse_request_id(request_id)
         unknown = FailureKind.NOT_FOUND.because(f"there is no waiting request {request_id!r}")
         if parsed is None:
@@ -139,10 +139,10 @@
             self._acquire_batch(batch)
         pending.stored.set_result(batch if failure is None else failure)
 
-    # --- duties ---
+    # --- background work ---
 
     def run(self) -> None:
-        """Commit, renew, run and take over until stopped; the body of one thread."""
+        """Store and run requests, and keep the lease, until stopped; the body of one thread."""
         next_renewal_s = next_record_s = 0.0
         while not self._stopping.wait(GROUP_COMMIT_S):
             try:
@@ -151,7 +151,7 @@
                 if now_s >= next_renewal_s:
                     next_renewal_s = now_s + _RENEW_PERIOD_S
                     is_relay = self._node.is_relay("waiting", RELAYS_PER_ZONE)
-                    # Only who owns work, or may take it over, costs the store a lease.
+                    # Other daemons need no lease, which spares the store their renewals.
                     if self._owned or is_relay:
                         self._renew()
                     if is_relay:
@@ -160,11 +160,11 @@
                     next_record_s = now_s + _RECORD_PERIOD_S
                     self._record()
                 self._start_requests()
-            except Exception as error:  # noqa: BLE001 - a surprise must not end the duty
+            except Exception as error:  # noqa: BLE001 - an error must not end the thread
                 log_event("waiting_work_failed", "ERROR", error=repr(error))
 
     def stop(self) -> None:
-        """Stop; what is not answered is taken over when the lease lapses."""
+        """Stop; other daemons take over the unanswered requests when the lease expires."""
         self._stopping.set()
         self._runners.shutdown(wait=False, cancel_futures=True)
 
@@ -173,12 +173,12 @@
 
     def _commit_pending_batch(self) -> None:
         with self._lock:
-            gathered = self._pending_batch
-            if not gathered.requests:
+            pending = self._pending_batch
+            if not pending.requests:
                 return
             self._pending_batch = _PendingBatch()
         self._write_deadline_s = boot_seconds() + _MAX_WRITE_WAIT_S
-        self._commit(gathered)
+        self._commit(pending)
 
     def _acquire_batch(self, batch: WaitingBatch) -> None:
         if not self._has_lease():
@@ -193,22 +193,22 @@
         return self._lease_id != 0 and boot_seconds() < self._lease_expires_at_s
 
     def _renew(self) -> None:
-        asked_at_s = boot_seconds()
+        requested_at_s = boot_seconds()
         if self._lease_id:
             renewed = self._leases.renew_lease(self._lease_id)
             if not isinstance(renewed, Failure):
-                self._lease_expires_at_s = asked_at_s + LEASE_S - _RENEW_PERIOD_S / 2
+                self._lease_expires_at_s = requested_at_s + LEASE_S - _RENEW_PERIOD_S / 2
                 return
             if self._has_lease() and renewed.kind is not FailureKind.NOT_FOUND:
                 return
-            # The lease has lapsed, or may have: others may own the batches now.
+            # The lease has expired, or may have, so other daemons may own the batches now.
             with self._lock:
                 self._owned.clear()
             self._lease_id = 0
         granted = self._leases.grant_lease(LEASE_S)
         if not isinstance(granted, Failure):
             self._lease_id = granted
-            self._lease_expires_at_s = asked_at_s + LEASE_S - _RENEW_PERIOD_S / 2
+            self._lease_expires_at_s = requested_at_s + LEASE_S - _RENEW_PERIOD_S / 2
 
     def _take_over_orphans(self) -> None:
         if not self._has_lease():
@@ -233,7 +233,7 @@
                 return
 
     def _start_batch(self, batch: WaitingBatch) -> bool:
-        """Start the batch's unanswered requests; False when every runner is taken."""
+        """Start the batch's unanswered requests; False when every runner is busy."""
         pending = [
             number
             for number in range(len(batch.requests))
@@ -266,30 +266,30 @@
                 return
             answer = self._run_request(request, head + request.tail, request_id)
             if isinstance(answer, Failure):
-                # Not an end: the request keeps its place and is tried again.
+                # The request stays in its batch and is run again.
                 log_event("waiting_request_failed", request=request_id, failure=answer)
                 return
             with self._lock:
                 self._answers.setdefault(batch.batch_id, {})[number] = answer
-        except Exception as error:  # noqa: BLE001 - the request stays and is tried again
+        except Exception as error:  # noqa: BLE001 - the request stays and is run again
             log_event("waiting_request_failed", "ERROR", request=request_id, error=repr(error))
         finally:
             self._running.discard(request_id)
 
     def _record(self) -> None:
-        """Write new answers, one write a batch, and remove batches that are finished."""
+        """Write the answers, with one write a batch, and remove finished batches."""
         with self._lock:
-            fresh = {
+            collected = {
                 batch_id: dict(answers)
                 for batch_id, answers in self._answers.items()
                 if batch_id in self._owned
             }
-        for batch_id, answers in fresh.items():
-            sheet = self._store.record_answers(batch_id, answers)
-            if isinstance(sheet, Failure):
+        for batch_id, answers in collected.items():
+            recorded = self._store.record_answers(batch_id, answers)
+            if isinstance(recorded, Failure):
                 continue
             batch = self._owned.get(batch_id)
-            finished = batch is not None and len(sheet.answers) == len(batch.requests)
+            finished = batch is not None and len(recorded.answers) == len(batch.requests)
             if finished and self._store.remove_batch(batch_id) is None:
                 with self._lock:
                     self._owned.pop(batch_id, None)
--- a/winchfork/cluster/wire.py
+++ b/winchfork/cluster/wire.py
@@ -1,10 +1,8 @@
 """The peer protocol's datagrams: typed messages in MessagePack, authenticated by a shared key.
 
 A datagram is ``tag (16 bytes) + type number (1 byte) + the message's fields as an array``. Nested
-messages are arrays of their fields, enums their values. The tag is a keyed BLAKE2b over what
-follows it; every message is idempotent, so a replayed datagram changes nothing that the first did
-not. The library builds and checks the typed messages itself: docs/design/peer-codec.md has the
-measurement.
+messages are arrays of their fields, enums their values. The tag is a keyed BLAKE2b over the rest of
+the datagram. Every message is idempotent, so a replayed datagram changes nothing.
 """
 
 from __future__ import annotations
@@ -20,12 +18,11 @@
 
 _TAG_BYTES = 16
 _BODY_START = _TAG_BYTES + 1
-#: Type numbers take one byte.
 _MAX_TYPES = 256
 
 
 class PeerCodec:
-    """Encodes and decodes the registered message types; the order of registration is the wire."""
+    """Encodes and decodes messages; the index of a type in ``message_types`` is its type number."""
 
     def __init__(self, key: bytes, message_types: tuple[type[PeerMessage], ...]) -> None:
         if len(message_types) > _MAX_TYPES:
@@ -38,24 +35,26 @@
         self._decoders = [msgspec.msgpack.Decoder(message_type) for message_type in message_types]
 
     def encode(self, message: PeerMessage) -> bytes | Failure:
-        """Return the datagram of ``message``."""
+        """Return the datagram of ``message``, or a failure when it is too large."""
         body = self._numbers[type(message)] + self._encoder.encode(message)
         if len(body) + _TAG_BYTES > MAX_DATAGRAM_BYTES:
             return FailureKind.BAD_DATAGRAM.because(
-                f"{type(message).__name__} takes {len(body)} bytes; the most is "
+                f"{type(message).__name__} takes {len(body)} bytes; the limit is "
                 f"{MAX_DATAGRAM_BYTES - _TAG_BYTES}"
             )
         return self._tag(body) + body
 
     def decode(self, datagram: bytes) -> PeerMessage | Failure:
-        """Return the message of ``datagram``; anything not made with the key is refused."""
+        """Return the message of ``datagram``; a failure when its tag or its body is invalid."""
         if not hmac.compare_digest(datagram[:_TAG_BYTES], self._tag(datagram[_TAG_BYTES:])):
             return FailureKind.BAD_DATAGRAM.because("the authentication tag does not match")
         try:
             decoder = self._decoders[datagram[_TAG_BYTES]]
             message: PeerMessage = decoder.decode(memoryview(datagram)[_BODY_START:])
         except (msgspec.DecodeError, IndexError) as error:
-            return FailureKind.BAD_DATAGRAM.because(f"unreadable body: {type(error).__name__}")
+            return FailureKind.BAD_DATAGRAM.because(
+                f"the body cannot be decoded: {type(error).__name__}"
+            )
         return message
 
     def _tag(self, body: bytes) -> bytes:
