--- a/winchfork/gateway/__init__.py
+++ b/winchfork/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The interface for callers: OpenAI-compatible completions and the application relay."""
+"""The callers' HTTP interface: OpenAI-compatible completions and the application relay."""
--- a/winchfork/gateway/admission_gate.py
+++ b/winchfork/gateway/admission_gate.py
@@ -1,4 +1,4 @@
-"""Lets generations in as their daemon has slots, and wakes those whose turn has come."""
+"""Admits generations while the daemon has free slots, and lets the others wait in a queue."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from winchfork.gateway.caller import Waiter
 from winchfork.gateway.requests import CallerContext
 
-#: Seconds between two looks at whether a waiting caller has gone.
+#: Period at which a waiting request's caller is checked.
 _TICKET_POLL_S = 0.25
 
 
 class AdmissionGate:
-    """The waiting generations of one daemon. Thread-safe."""
+    """Makes the generations of one daemon wait until they are admitted. Thread-safe."""
 
     def __init__(self, state: DaemonState) -> None:
         self._state = state
         self._tickets: dict[str, Future[None]] = {}
 
     def admit(self, request_id: str, context: CallerContext, caller: Waiter) -> Failure | None:
-        """Let a request in, after its turn has come; the failure says why it is refused."""
+        """Block until the request is admitted; return why not if it is refused or gives up."""
         now_s = boot_seconds()
         ticket = Ticket(
             request_id,
@@ -37,13 +37,13 @@
         )
         admitted: Future[None] = Future()
         with self._state.lock:
-            verdict = self._state.admission.offer(ticket, now_s)
-            if verdict is AdmissionOutcome.QUEUED:
+            outcome = self._state.admission.offer(ticket, now_s)
+            if outcome is AdmissionOutcome.QUEUED:
                 self._tickets[request_id] = admitted
             self._state.retry_budget.record_request()
-        if isinstance(verdict, Failure):
-            return verdict
-        if verdict is AdmissionOutcome.QUEUED:
+        if isinstance(outcome, Failure):
+            return outcome
+        if outcome is AdmissionOutcome.QUEUED:
             return self._await_turn(request_id, caller, admitted)
         return None
 
@@ -64,12 +64,12 @@
                 self._tickets.pop(request_id, None)
             if withdrawn:
                 return reason.with_run_state(RunState.NOT_RUN)
-            # Admitted between the check and the withdrawal: give the slot back.
+            # It was admitted between the check and the withdrawal, so its slot must be freed.
             self.release(request_id, 0.0)
             return reason.with_run_state(RunState.NOT_RUN)
 
     def release(self, request_id: str, service_s: float) -> None:
-        """Give a request's slot back; those whose turn has come are let in."""
+        """Free a request's slot after ``service_s`` of service, and admit requests that wait."""
         with self._state.lock:
             admitted = self._state.admission.release(request_id, boot_seconds(), service_s)
             futures = [self._tickets.pop(ticket.request_id, None) for ticket in admitted]
--- a/winchfork/gateway/app.py
+++ b/winchfork/gateway/app.py
@@ -1,4 +1,4 @@
-"""The WSGI application for callers: paths, authentication, and one answer for each request."""
+"""The callers' WSGI application: routes paths, authenticates, and answers each request."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class GatewayApplication:
-    """Serves callers. Thread-safe."""
+    """The callers' WSGI application. Thread-safe."""
 
     def __init__(
         self,
@@ -57,16 +57,16 @@
         self._metrics = metrics
 
     def __call__(self, environ: dict[str, Any], start_response: StartResponse) -> Iterable[bytes]:
-        """Serve one request; nothing escapes as a traceback."""
+        """Serve one request; an exception becomes a typed error response."""
         request = Request(environ)
         request_id = f"{self._state.own_id}-{uuid.uuid4().hex}"
         try:
             response = self._route(request, request_id, start_response)
-        except Exception as error:  # noqa: BLE001 - the caller gets a typed answer, the log the rest
+        except Exception as error:  # noqa: BLE001 - logged, and answered with a typed failure
             log_event("request_crashed", "ERROR", request=request_id, error=repr(error))
-            # Nothing is known of how far the request came: it may have run.
+            # The request may have run: the exception does not show how far it came.
             failure = FailureKind.INTERNAL.because(
-                "an internal error", remedy="see the daemon's log under this request id"
+                "an internal error", remedy="look up this request id in the daemon's log"
             )
             response = error_response(failure, request_id)
         if response is None:
@@ -149,20 +149,25 @@
         caller: Caller,
         start_response: StartResponse,
     ) -> Response | None:
-        shape = _format(request_id, parsed)
+        answer_format = _format(request_id, parsed)
         events = EventStream(start_response, request_id, caller.connection)
         result = self._generations.run(
-            request_id, pool, parsed, context, caller, lambda text: events.send(shape.piece(text))
+            request_id,
+            pool,
+            parsed,
+            context,
+            caller,
+            lambda text: events.send(answer_format.piece(text)),
         )
         if isinstance(result, GenerationResult):
             self._metrics.count_request("completed")
-            events.send(shape.end(result.end.finish_reason, _usage(parsed, result)))
+            events.send(answer_format.end(result.end.finish_reason, _usage(parsed, result)))
             events.finish()
             return None
         if not events.started:
             return self._refuse(result, request_id)
         self._metrics.count_request(result.kind.value)
-        events.send(shape.error_event(result, request_id))
+        events.send(answer_format.error_event(result, request_id))
         events.finish()
         return None
 
@@ -184,7 +189,7 @@
         )
         return _json(body, request_id)
 
-    # --- work that may wait ---
+    # --- requests that may wait ---
 
     def _accept(
         self, request_id: str, pool: Pool, parsed: GenerationRequest, context: CallerContext
@@ -192,7 +197,7 @@
         if not context.may_wait:
             return self._refuse(
                 FailureKind.INVALID_REQUEST.because(
-                    f"class {context.traffic_class.name} may not wait",
+                    f"requests of class {context.traffic_class.name} may not wait",
                     remedy="use a class or rule with may_wait, or drop Prefer: respond-async",
                 ),
                 request_id,
@@ -248,7 +253,7 @@
             return self._refuse(
                 FailureKind.NOT_FOUND.because(
                     f"there is no application pool {name!r}",
-                    remedy="winchfork config get lists the pools",
+                    remedy="list the pools with winchfork config get",
                 ),
                 request_id,
             )
@@ -353,13 +358,13 @@
 
 def _not_configured() -> Failure:
     return FailureKind.NOT_ACCEPTING_WORK.because(
-        "this daemon has just started and knows no configuration yet",
-        remedy="come back after the given time, or use another daemon",
+        "this daemon has just started and has no configuration yet",
+        remedy="retry after the given time, or use another daemon",
         retry_after_s=1.0,
     )
 
 
 def _wrong_method(expected: str) -> Failure:
     return FailureKind.METHOD_NOT_ALLOWED.because(
-        f"this path takes {expected} only", remedy=f"use {expected}"
+        f"this path accepts {expected} only", remedy=f"use {expected}"
     )
--- a/winchfork/gateway/attempt_placement.py
+++ b/winchfork/gateway/attempt_placement.py
@@ -1,4 +1,4 @@
-"""Chooses the replica of an attempt, asking those whose identity is not known."""
+"""Chooses the replica of an attempt, querying replicas whose identity is unknown."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from winchfork.errors import Failure, FailureKind
 from winchfork.gateway.requests import CallerContext, GenerationRequest
 
-#: Replicas held for unavailable that one request asks at most.
+#: Bounds the queries of one request to replicas marked unavailable.
 _MAX_STATE_QUERIES = 3
 
 
 @dataclasses.dataclass
 class PlacedAttempt:
-    """An attempt at the replica that was chosen, and what it was expected to find there."""
+    """An attempt with its chosen replica, and the state that the choice assumed."""
 
     attempt_id: str
     replica: Replica
@@ -50,15 +50,15 @@
         context: CallerContext,
         excluded: set[str],
     ) -> PlacedAttempt | Failure:
-        """Choose a replica that is not excluded, and count the attempt on it."""
+        """Choose a replica that is not excluded, and record the attempt as outstanding on it."""
         replicas = self._candidates(pool, excluded)
         if not replicas:
             return FailureKind.NO_REPLICA.because(
-                f"pool {pool.name} has no replica that takes work",
-                remedy="come back after the given time",
+                f"pool {pool.name} has no replica that accepts work",
+                remedy="retry after the given time",
                 retry_after_s=2.0,
             )
-        # Replicas differ in weights only during a rollout; the prompt's keys follow the version.
+        # During a rollout, versions differ between replicas; block keys depend on the version.
         version = max(replica.identity.weights_version for replica in replicas if replica.identity)
         scope = CacheScope(context.tenant.name, request.model, version)
         prefix = prompt_prefix(scope, request.prompt.encode())
@@ -90,10 +90,10 @@
         return PlacedAttempt(attempt_id, replica, identity, decision, scope, prefix, import_address)
 
     def _candidates(self, pool: Pool, excluded: set[str]) -> list[Replica]:
-        """Return the pool's replicas whose identity is known, asking those that are not.
+        """Return the pool's replicas whose identity is known, querying some of the others.
 
-        Notes of identities can be lost, so a replica of unknown identity must not stay out for
-        good: one is asked with each request, and all of them while none is known.
+        An announced identity can be lost, so each request queries one replica of unknown identity,
+        or all of them when none is known.
         """
         with self._state.lock:
             replicas = self._state.fleet.candidates(pool.name, time.time(), frozenset(excluded))
@@ -108,20 +108,20 @@
         return known
 
     def _query_possibly_available(self, pool: Pool, excluded: set[str]) -> list[Replica]:
-        """Ask a few replicas that are held for unavailable before a request is refused.
+        """Query a few replicas marked unavailable before the request is refused.
 
-        That belief comes by gossip and can be a second old, which matters while replicas take turns
-        at loading weights. Bounded, so that an outage of the pool costs little.
+        The mark spreads by gossip and can be stale while replicas load new weights one by one. The
+        number of queries is bounded, so that an outage of the pool is not amplified.
         """
         with self._state.lock:
-            doubtful = self._state.fleet.possibly_available(pool.name, frozenset(excluded))
-        for replica in doubtful[:_MAX_STATE_QUERIES]:
+            unavailable = self._state.fleet.possibly_available(pool.name, frozenset(excluded))
+        for replica in unavailable[:_MAX_STATE_QUERIES]:
             if self._query_identity(replica):
                 return [replica]
         return []
 
     def _query_identity(self, replica: Replica) -> bool:
-        """Ask a replica who it is; False when it does not answer or takes no work."""
+        """Query a replica's identity and load; False when it fails or accepts no work."""
         report = self._engine.report(replica.address, 1 << 60)
         if isinstance(report, Failure) or not report.accepting:
             return False
--- a/winchfork/gateway/caller.py
+++ b/winchfork/gateway/caller.py
@@ -1,4 +1,4 @@
-"""The caller's side of one request: its connection, its deadline, and its stream."""
+"""The caller of one request: its connection, deadline and event stream."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Waiter(Protocol):
-    """Whoever waits for a generation: a caller on a connection, or stored work that has none."""
+    """The party a generation runs for: a connected caller, or a stored request."""
 
     deadline_at_s: float
 
@@ -24,12 +24,12 @@
         ...
 
     def remaining_s(self) -> float:
-        """Return the seconds left until the deadline."""
+        """Return the seconds until the deadline, negative once it has passed."""
         ...
 
 
 class StoredRequestWaiter:
-    """Waits on behalf of stored work; only its deadline ends it."""
+    """The waiter of a stored request, which has a deadline but no connection."""
 
     def __init__(self, deadline_at_s: float) -> None:
         self.deadline_at_s = deadline_at_s
@@ -38,7 +38,9 @@
         """Return a failure once the deadline has passed."""
         if self.remaining_s() > 0:
             return None
-        return FailureKind.DEADLINE_EXCEEDED.because("this run of the stored request took too long")
+        return FailureKind.DEADLINE_EXCEEDED.because(
+            "this run of the stored request exceeded its deadline"
+        )
 
     def remaining_s(self) -> float:
         """Return the seconds left until the deadline."""
@@ -46,13 +48,13 @@
 
 
 class Caller:
-    """Tells whether anyone still waits for the answer."""
+    """A connected caller: checks its deadline and whether it has disconnected."""
 
     def __init__(self, connection: socket.socket, deadline_at_s: float) -> None:
         self.connection = connection
         self.deadline_at_s = deadline_at_s
         self._next_peek_s = 0.0
-        self._left = False
+        self._disconnected = False
         self._poll = select.poll()
         self._poll.register(connection, select.POLLIN)
 
@@ -65,8 +67,8 @@
             )
         if now_s >= self._next_peek_s:
             self._next_peek_s = now_s + _PEEK_PERIOD_S
-            self._left = self._left or self._has_left()
-        if self._left:
+            self._disconnected = self._disconnected or self._check_disconnected()
+        if self._disconnected:
             return FailureKind.CALLER_LEFT.because("the caller closed the connection")
         return None
 
@@ -74,11 +76,11 @@
         """Return the seconds left until the deadline."""
         return self.deadline_at_s - boot_seconds()
 
-    def _has_left(self) -> bool:
+    def _check_disconnected(self) -> bool:
         try:
             if not self._poll.poll(0):
                 return False
-            # The plain socket's method, since a TLS socket cannot peek; closing shows either way.
+            # The plain socket's method, since a TLS socket cannot peek; it shows the close of both.
             return not socket.socket.recv(self.connection, 1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
             return False
@@ -87,7 +89,7 @@
 
 
 class EventStream:
-    """Writes server-sent events; the answer starts with the first one."""
+    """Writes server-sent events; the HTTP response starts with the first one."""
 
     def __init__(
         self, start_response: Callable[..., Any], request_id: str, connection: socket.socket
@@ -99,11 +101,11 @@
 
     @property
     def started(self) -> bool:
-        """Whether the status line has gone out."""
+        """Whether the status line has been sent."""
         return self._body is not None
 
     def send(self, event: bytes) -> Failure | None:
-        """Send one event without blocking; a failure means that the caller is gone."""
+        """Send one event without blocking; a failure means that the caller has disconnected."""
         if self._body is None:
             failure = self._start()
             if failure is not None:
@@ -112,7 +114,7 @@
         return self._body.send(event)
 
     def finish(self) -> None:
-        """Block until everything sent has been written, or the caller is gone."""
+        """Block until all events are written or the caller has disconnected."""
         if self._body is not None:
             self._body.wait_drained()
 
@@ -123,7 +125,7 @@
             ("X-Request-Id", self._request_id),
         ]
         try:
-            # The library writes the status and headers; the chunks go to the connection directly.
+            # werkzeug writes the status and headers; the chunks are written to the socket directly.
             self._start_response("200 OK", headers)(b"")
         except OSError as error:
             return FailureKind.CALLER_LEFT.because(
--- a/winchfork/gateway/direct_stream.py
+++ b/winchfork/gateway/direct_stream.py
@@ -1,8 +1,8 @@
-"""Chunks of a stream written straight to the connection by whichever thread has them.
+"""Writes the chunks of a streamed response to the caller's socket without blocking the sender.
 
-A chunk normally leaves in one non-blocking write. When the reader is slow, what did not fit waits
-in a bounded backlog that a small pool of writers empties; a reader that lets the backlog fill up
-has stopped reading, and its stream fails. TLS connections always use the writers.
+A chunk is normally written by the sending thread in one non-blocking write. Under backpressure the
+rest goes to a bounded backlog, which a shared pool of writer threads drains; the stream fails when
+the backlog is full. Chunks of TLS connections always go through the writers.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 from winchfork.errors import Failure, FailureKind
 
-#: Bytes of backlog after which a reader counts as gone.
+#: A stream fails when its unsent bytes exceed this.
 MAX_BACKLOG_BYTES = 256 * 1024
 _WRITERS = ThreadPoolExecutor(32, thread_name_prefix="slow-writer")
 
 
 class DirectStream:
-    """The body of one chunked HTTP answer whose headers have gone out. Thread-safe."""
+    """The body of one chunked HTTP response whose headers have been sent. Thread-safe."""
 
     def __init__(self, connection: socket.socket) -> None:
         self._connection = connection
@@ -32,7 +32,7 @@
         self._failure: Failure | None = None
 
     def send(self, data: bytes) -> Failure | None:
-        """Send one chunk without blocking; a failure means that the reader is gone."""
+        """Send one chunk without blocking; return the failure once the stream has failed."""
         frame = b"%x\r\n%b\r\n" % (len(data), data)
         with self._changed:
             if self._failure is not None:
@@ -44,14 +44,14 @@
             return self._failure
 
     def wait_drained(self) -> Failure | None:
-        """Block until the backlog is written or the reader is gone."""
+        """Block until the backlog is written or the stream has failed."""
         with self._changed:
             self._changed.wait_for(lambda: not self._draining or self._failure is not None)
             return self._failure
 
     def _write_now(self, frame: bytes) -> int:
         try:
-            # The descriptor is non-blocking, since the server gave the connection a time limit.
+            # The descriptor is non-blocking, since the server has set a timeout on the socket.
             return os.write(self._connection.fileno(), frame)
         except BlockingIOError:
             return 0
@@ -62,7 +62,7 @@
     def _queue(self, frame: bytes) -> None:
         self._backlog += frame
         if len(self._backlog) > MAX_BACKLOG_BYTES:
-            self._fail("the caller stopped reading")
+            self._fail("the caller reads too slowly: its backlog is full")
         elif not self._draining:
             self._draining = True
             _WRITERS.submit(self._drain)
--- a/winchfork/gateway/generation.py
+++ b/winchfork/gateway/generation.py
@@ -1,9 +1,9 @@
-"""Runs one generation: admission, placement, dispatch, and what follows a failure.
+"""Runs one generation: admission, placement, dispatch, and recovery from failed attempts.
 
-The stream that the caller receives is whole and in order by construction: a piece is passed on only
-if its offset is exactly the number of tokens already passed on, and only from the attempt in
-force. After a break the same incarnation is asked to resume at that offset; failing that, another
-attempt continues after the text already sent. A stream that cannot be completed ends in a failure.
+A caller receives every token once and in order: a piece is forwarded only if its offset equals the
+number of tokens already forwarded, and only from the current attempt. When a stream breaks, the
+same incarnation is asked to resume at that offset; if it cannot, another attempt continues after
+the text already sent. A stream that cannot be completed ends with a failure.
 """
 
 from __future__ import annotations
@@ -38,27 +38,27 @@
 from winchfork.gateway.requests import CallerContext, GenerationRequest
 from winchfork.gateway.stream_progress import StreamProgress
 
-#: Failures after which nothing more is tried: nobody waits, or time is up.
+#: Failures after which no other attempt is made: the caller has left, or its deadline passed.
 _FINAL_FAILURES = (FailureKind.CALLER_LEFT, FailureKind.DEADLINE_EXCEEDED)
-#: Refusals of an engine that has not begun.
+#: Failures of an engine that has not started the attempt; no cancellation is sent for them.
 _NOT_STARTED_FAILURES = (FailureKind.FENCE_MISMATCH, FailureKind.NOT_ACCEPTING_WORK)
 #: Failures after which this daemon avoids the replica for a while.
 _AVOIDANCE_FAILURES = (FailureKind.BACKEND_UNREACHABLE, FailureKind.NOT_ACCEPTING_WORK)
-#: Failures whose next placement costs no retry: nothing ran, and the cause is dealt with (the
-#: replica is avoided, or its identity asked again), so they cannot repeat at traffic's rate.
+#: Failures whose next placement does not use the retry budget: nothing ran, and the cause cannot
+#: recur with every request, since the replica is avoided or its identity is queried again.
 _FREE_RETRY_FAILURES = (*_AVOIDANCE_FAILURES, FailureKind.FENCE_MISMATCH)
 
 
 @dataclasses.dataclass(frozen=True)
 class GenerationResult:
-    """A complete generation: its end and the cached tokens that its last placement reused."""
+    """The end of a complete generation, and the cached tokens that its last attempt reused."""
 
     end: StreamEnd
     cached_tokens: int
 
 
 class GenerationRouter:
-    """Routes generations of this daemon. Thread-safe; one call runs on one worker thread."""
+    """Routes the generations of one daemon. Thread-safe."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
         caller: Waiter,
         deliver: Callable[[str], Failure | None],
     ) -> GenerationResult | Failure:
-        """Run a generation to its end, passing text to ``deliver`` as it comes."""
+        """Run a generation to its end; ``deliver`` receives each piece of text as it arrives."""
         admitted_at_s = boot_seconds()
         refusal = self._gate.admit(request_id, context, caller)
         if refusal is not None:
@@ -150,11 +150,11 @@
             return self._state.retry_budget.try_spend()
 
     def _after_failure(self, attempt: PlacedAttempt, failure: Failure) -> set[str]:
-        """Learn from a failed attempt; return the replicas to leave out of the next placement."""
+        """Update the replica after a failed attempt; return replicas to exclude from the next."""
         replica = attempt.replica
         with self._state.lock:
             if failure.kind is FailureKind.FENCE_MISMATCH:
-                # The beliefs were about an engine that is no more; ask who it is now.
+                # The engine has restarted or loaded other weights; its identity is queried again.
                 if replica.identity == attempt.identity:
                     replica.identity = None
                 return set()
@@ -177,7 +177,7 @@
         def on_start(start: StreamStart) -> Failure | None:
             if start.identity != attempt.identity:
                 return FailureKind.FENCE_MISMATCH.because(
-                    f"{attempt.replica.replica_id} answered as {start.identity}",
+                    f"{attempt.replica.replica_id} reports another identity: {start.identity}",
                     ran=RunState.UNKNOWN,
                 )
             progress.cached_tokens = start.cached_tokens
@@ -223,13 +223,13 @@
         callbacks: StreamCallbacks,
         progress: StreamProgress,
     ) -> StreamEnd | Failure:
-        """Ask the same incarnation for the rest of the same attempt's stream."""
+        """Request the rest of the attempt's stream from the same incarnation."""
         self._state.record_decision(
             request_id, "resumed", "stream_broke", attempt=attempt.attempt_id, at=progress.tokens
         )
         resumed = dataclasses.replace(dispatch, resume_offset=progress.tokens)
-        quiet = dataclasses.replace(callbacks, on_start=lambda start: None)
-        return self._engine.generate(attempt.replica.address, resumed, quiet)
+        resume_callbacks = dataclasses.replace(callbacks, on_start=lambda start: None)
+        return self._engine.generate(attempt.replica.address, resumed, resume_callbacks)
 
     def _record_start(
         self, request_id: str, attempt: PlacedAttempt, start: StreamStart, waited_s: float
@@ -257,7 +257,7 @@
 
 
 def _final_failure(failure: Failure, progress: StreamProgress) -> Failure:
-    """Say of the whole request whether it ran: text that reached the caller proves that it did."""
+    """Mark the failure as run if text has reached the caller, whichever attempt it came from."""
     if progress.tokens:
         return failure.with_run_state(RunState.RAN)
     return failure
--- a/winchfork/gateway/metrics.py
+++ b/winchfork/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""The daemon's metrics for Prometheus, one registry a daemon."""
+"""The daemon's Prometheus metrics, in a registry of its own."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class GatewayMetrics:
-    """Counters of one daemon."""
+    """The metrics of one daemon."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -52,7 +52,7 @@
         self._first_token.labels(context.traffic_class.name).observe(seconds)
 
     def count_prompt_tokens(self, prompt_tokens: int, cached_tokens: int) -> None:
-        """Count reused and dispatched prompt tokens."""
+        """Count the prompt tokens of a dispatch, and how many of them the cache provided."""
         self._prompt_tokens.inc(prompt_tokens)
         self._cached_tokens.inc(min(prompt_tokens, cached_tokens))
 
@@ -61,5 +61,5 @@
         self._claims.labels(result).inc()
 
     def render(self) -> bytes:
-        """Return the text exposition."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/winchfork/gateway/relay.py
+++ b/winchfork/gateway/relay.py
@@ -1,8 +1,8 @@
-"""Relays requests to application back ends; those that must not be repeated run at most once.
+"""Relays requests to application back ends; a non-repeatable request runs at most once.
 
-A repeatable request may be tried on another back end. A request that must not be repeated is sent
-once, on a connection of its own, after its claim is won; it is refused as "not run" only when that
-is provable, and otherwise its outcome is unknown.
+A repeatable request may be retried on another back end. A non-repeatable one is sent once, on its
+own connection; if it has an idempotency key, only after its claim is won. Its failure is reported
+as "not run" only when that is certain, and as "outcome unknown" otherwise.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from winchfork.gateway.metrics import GatewayMetrics
 from winchfork.gateway.requests import CallerContext
 
-#: The largest answer body kept with a claim.
+#: The largest answer body recorded with a claim.
 MAX_RECORDED_BODY_BYTES = 8_192
 _FORWARDED_HEADERS = ("content-type", "accept", "accept-language", "traceparent")
 _MAX_ATTEMPTS = 3
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RelayRequest:
-    """What is sent on: method, path below the pool with query, body, headers of the caller."""
+    """A caller's request: method, path below the pool with query, body and headers."""
 
     method: str
     path: str
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RelayAnswer:
-    """The back end's answer; ``replayed`` when it is the kept one of an earlier attempt."""
+    """The back end's answer; ``replayed`` when it was recorded for an earlier attempt."""
 
     status: int
     content_type: str
@@ -52,7 +52,7 @@
 
 
 class Relay:
-    """Relays of this daemon. Thread-safe."""
+    """Relays the application requests of one daemon. Thread-safe."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self._client = client
         self._claims = claims
         self._metrics = metrics
-        self._turn = 0
+        self._rotation = 0
 
     def run(
         self,
@@ -75,14 +75,14 @@
         context: CallerContext,
         caller: Caller,
     ) -> RelayAnswer | Failure:
-        """Relay a request under its pool's and the caller's terms."""
+        """Relay a request; retries and claims depend on ``context``."""
         if context.repeatable:
             return self._run_repeatable(request_id, pool, request, caller)
         if context.idempotency_key is None:
             return self._run_once(request_id, pool, request, caller)
         return self._run_claimed(request_id, pool, request, context, caller)
 
-    # --- may be repeated ---
+    # --- repeatable requests ---
 
     def _run_repeatable(
         self, request_id: str, pool: Pool, request: RelayRequest, caller: Caller
@@ -111,12 +111,12 @@
         with self._state.lock:
             return self._state.retry_budget.try_spend()
 
-    # --- at most once ---
+    # --- non-repeatable requests ---
 
     def _run_once(
         self, request_id: str, pool: Pool, request: RelayRequest, caller: Caller
     ) -> RelayAnswer | Failure:
-        """Send once, moving on only from back ends that provably received nothing."""
+        """Send the request once; try another back end only if the last one received nothing."""
         excluded: set[str] = set()
         failure = _no_back_end(pool)
         for _ in range(_MAX_ATTEMPTS):
@@ -168,9 +168,9 @@
     def _dispatch_claimed(
         self, request_id: str, pool: Pool, request: RelayRequest, caller: Caller, claim: WonClaim
     ) -> RelayAnswer | Failure:
-        left = caller.check()
-        if left is not None:
-            refusal = left.with_run_state(RunState.NOT_RUN)
+        stopped = caller.check()
+        if stopped is not None:
+            refusal = stopped.with_run_state(RunState.NOT_RUN)
             claim.abandon(_encode_refusal(refusal))
             return refusal
         if not claim.dispatch():
@@ -179,7 +179,7 @@
         if isinstance(answer, RelayAnswer):
             claim.finish(_encode_outcome(answer))
         elif answer.ran is RunState.NOT_RUN:
-            # Proved: no back end received a byte. The kept refusal lets every retry know.
+            # No back end received a byte; later retries of the key get the recorded refusal.
             claim.finish(_encode_refusal(answer))
         return answer
 
@@ -189,12 +189,12 @@
         own_zone = self._state.settings.daemon.zone
         with self._state.lock:
             candidates = self._state.fleet.candidates(pool.name, time.time(), frozenset(excluded))
-            self._turn += 1
-            turn = self._turn
-        near = [replica for replica in candidates if replica.zone == own_zone] or candidates
-        if not near:
+            self._rotation += 1
+            rotation = self._rotation
+        nearby = [replica for replica in candidates if replica.zone == own_zone] or candidates
+        if not nearby:
             return None
-        replica = near[turn % len(near)]
+        replica = nearby[rotation % len(nearby)]
         self._state.record_decision(
             request_id, "placed", "rotation_near", replica=replica.replica_id, zone=replica.zone
         )
@@ -241,8 +241,8 @@
 
 def _no_back_end(pool: Pool) -> Failure:
     return FailureKind.NO_REPLICA.because(
-        f"pool {pool.name} has no back end that takes work",
-        remedy="come back after the given time",
+        f"pool {pool.name} has no back end that accepts work",
+        remedy="retry after the given time",
         retry_after_s=2.0,
     )
 
@@ -250,7 +250,7 @@
 def _outcome_unknown(failure: Failure) -> Failure:
     return FailureKind.OUTCOME_UNKNOWN.because(
         f"the request was sent and its answer did not arrive ({failure.reason})",
-        remedy="ask with the same key; do not send the command under a new one",
+        remedy="retry with the same key; do not send the command under a new one",
         ran=RunState.UNKNOWN,
     )
 
@@ -272,7 +272,7 @@
         )
     if body is None:
         return FailureKind.OUTCOME_UNKNOWN.because(
-            f"the command ran and was answered {status}; the answer was too large to keep",
+            f"the command ran and was answered {status}; the answer was too large to record",
             remedy="do not send the command again",
             ran=RunState.RAN,
         )
--- a/winchfork/gateway/requests.py
+++ b/winchfork/gateway/requests.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests: headers, bodies and limits; every problem is a typed refusal."""
+"""Parses and checks callers' requests: headers, bodies, limits. Errors are typed failures."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class _Body(pydantic.BaseModel):
-    """Unknown fields are let through: callers send many sampling options."""
+    """Fields of both request kinds. Unknown fields, such as sampling options, are ignored."""
 
     model: Annotated[str, pydantic.Field(min_length=1, max_length=128)]
     max_tokens: Annotated[int, pydantic.Field(ge=1, le=MAX_OUTPUT_TOKENS)] = _DEFAULT_OUTPUT_TOKENS
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class CallerContext:
-    """Who asks, and under which terms. ``deadline_s`` counts from arrival."""
+    """The tenant and the terms of one request; ``deadline_s`` counts from its arrival."""
 
     tenant: Tenant
     traffic_class: TrafficClass
@@ -85,7 +85,7 @@
 
 
 def render_chat(messages: list[tuple[str, str]]) -> str:
-    """Return the one prompt text of (role, content) messages; a prefix stays a prefix."""
+    """Return the prompt text of (role, content) messages; more messages only append to it."""
     return "".join(f"<|{role}|>\n{content}\n" for role, content in messages)
 
 
@@ -107,7 +107,7 @@
 
 
 def parse_generation(body: bytes, *, is_chat: bool) -> GenerationRequest | Failure:
-    """Read a completion or chat body."""
+    """Parse a completion or chat body."""
     try:
         document: Any = json.loads(body)
     except (ValueError, RecursionError):
@@ -134,7 +134,7 @@
     scheme, _, api_key = request.headers.get("Authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not api_key:
         return FailureKind.UNAUTHENTICATED.because(
-            "there is no API key", remedy="send the header Authorization: Bearer KEY"
+            "the request has no API key", remedy="send the header Authorization: Bearer KEY"
         )
     tenant = configuration.tenants_by_key.get(hash_api_key(api_key.strip()))
     if tenant is None:
@@ -147,13 +147,13 @@
 def read_context(
     request: Request, tenant: Tenant, pool: Pool, configuration: InstalledConfiguration
 ) -> CallerContext | Failure:
-    """Combine headers, rule, pool and class into the request's terms."""
+    """Derive the request's terms from its headers, the rule, the pool and the traffic class."""
     headers = request.headers
     for name in _CHECKED_HEADERS:
         value = headers.get(name, "")
         if len(value) > MAX_HEADER_VALUE_BYTES or not value.isprintable():
             return FailureKind.INVALID_REQUEST.because(
-                f"header {name} is longer than {MAX_HEADER_VALUE_BYTES} or not printable",
+                f"header {name} exceeds {MAX_HEADER_VALUE_BYTES} characters or is not printable",
                 remedy="send a short printable value",
             )
     rule = configuration.rule_for(tenant.name, pool.name, request.path)
--- a/winchfork/gateway/responses.py
+++ b/winchfork/gateway/responses.py
@@ -1,4 +1,4 @@
-"""Answers in the OpenAI shapes: errors, whole answers and server-sent events."""
+"""Responses in the OpenAI format: errors, whole answers and server-sent events."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def error_response(failure: Failure, request_id: str) -> Response:
-    """Return a failure as a whole answer."""
+    """Return the HTTP response of a failure."""
     response = Response(
         json.dumps(error_body(failure, request_id)),
         status=status_of(failure),
@@ -65,14 +65,19 @@
 
 
 class AnswerFormat:
-    """Builds the bodies of one completion or chat answer."""
+    """Builds the body, or the stream events, of one completion or chat answer."""
 
     def __init__(self, request_id: str, model: str, *, is_chat: bool, created_s: int) -> None:
         self._is_chat = is_chat
-        kind = "chat.completion" if is_chat else "text_completion"
-        self._whole = {"id": request_id, "object": kind, "created": created_s, "model": model}
-        stream_kind = "chat.completion.chunk" if is_chat else kind
-        head = {**self._whole, "object": stream_kind}
+        object_name = "chat.completion" if is_chat else "text_completion"
+        self._whole = {
+            "id": request_id,
+            "object": object_name,
+            "created": created_s,
+            "model": model,
+        }
+        stream_object_name = "chat.completion.chunk" if is_chat else object_name
+        head = {**self._whole, "object": stream_object_name}
         self._chunk_head = json.dumps(head)[:-1]
 
     def piece(self, text: str) -> bytes:
@@ -92,12 +97,12 @@
         return f"data: {self._chunk_head}, {tail}\n\ndata: [DONE]\n\n".encode()
 
     def error_event(self, failure: Failure, request_id: str) -> bytes:
-        """Return the event that ends a stream that cannot be completed; no DONE follows."""
+        """Return the event that ends an incomplete stream; no DONE follows."""
         body = json.dumps(error_body(failure, request_id))
         return f"event: error\ndata: {body}\n\n".encode()
 
     def whole(self, text: str, reason: FinishReason, usage: dict[str, Any]) -> dict[str, Any]:
-        """Return a whole answer."""
+        """Return the body of a whole answer."""
         if self._is_chat:
             content: dict[str, Any] = {"message": {"role": "assistant", "content": text}}
         else:
--- a/winchfork/gateway/server.py
+++ b/winchfork/gateway/server.py
@@ -1,9 +1,8 @@
 """A werkzeug server on a bounded pool of worker threads.
 
-One connection takes one worker for one request, so the pool bounds the open requests. When every
-worker is taken, a new connection is answered at once with a typed refusal instead of waiting. Reads
-and writes carry a time limit, so a stalled sender or a reader that stopped reading gives its worker
-back.
+Each connection holds one worker while its request is served, so the pool bounds the open requests.
+When every worker is busy, a new connection is refused at once with a typed failure. Reads and
+writes have a timeout, so that a stalled caller does not hold its worker.
 """
 
 from __future__ import annotations
@@ -27,7 +26,7 @@
 _BACKLOG = 1024
 _BUSY_BODY = (
     b'{"error":{"message":"every worker is busy","type":"overloaded","code":"overloaded",'
-    b'"ran":"not_run","remedy":"come back after the given time"}}'
+    b'"ran":"not_run","remedy":"retry after the given time"}}'
 )
 _BUSY_ANSWER = (
     b"HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nRetry-After: 1\r\n"
@@ -39,33 +38,33 @@
 
 
 class _Handler(WSGIRequestHandler):
-    """HTTP/1.1 with chunked streams; library messages go to our log."""
+    """HTTP/1.1 with chunked streams; werkzeug's messages go to the daemon's log."""
 
     protocol_version = "HTTP/1.1"
     timeout = CALLER_SOCKET_TIMEOUT_S
-    #: Buffered, so that the library's several writes a chunk leave as one segment at its flush.
+    #: Buffers werkzeug's several writes a chunk, so that its flush sends them together.
     wbufsize = 64 * 1024
 
     def setup(self) -> None:
-        """Send each chunk at once."""
+        """Disable Nagle's algorithm, so that each chunk is sent at once."""
         super().setup()
         self.connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def make_environ(self) -> dict[str, Any]:
-        """Let the application watch the caller's connection."""
+        """Pass the caller's connection to the application."""
         environ = super().make_environ()
         environ["winchfork.socket"] = self.connection
         return environ
 
     def handle(self) -> None:
-        """Serve one request; a broken connection is the caller's affair."""
+        """Serve one request; a broken connection is only logged."""
         try:
             super().handle()
         except (OSError, ssl.SSLError) as error:
             log_event("caller_connection_ended", "DEBUG", error=repr(error))
 
     def send_error(self, code: int, message: str | None = None, explain: str | None = None) -> None:
-        """Refuse what is not HTTP in the shape of every other refusal."""
+        """Answer a malformed HTTP request with a typed failure, like any other refusal."""
         failure = FailureKind.INVALID_REQUEST.because(
             message or "the request cannot be read", remedy="send an HTTP/1.1 request"
         )
@@ -81,7 +80,7 @@
             }
         ).encode()
         if self.request_version == "HTTP/0.9":
-            # Not even a version was sent; answer as HTTP/1.1 all the same.
+            # For HTTP/0.9 (a request without a version), http.server sends no status line.
             self.request_version = "HTTP/1.1"
         self.send_response(code)
         self.send_header("Content-Type", "application/json")
@@ -91,13 +90,13 @@
         self.wfile.write(body)
         self.close_connection = True
 
-    def log(self, type: str, message: str, *args: Any) -> None:  # noqa: A002 - library's name
-        """Keep the library's access and error lines as debug events."""
+    def log(self, type: str, message: str, *args: Any) -> None:  # noqa: A002 - werkzeug's name
+        """Log werkzeug's access and error lines as debug events."""
         log_event("http_server", "DEBUG", kind=type, message=message % args if args else message)
 
 
 class PooledServer(BaseWSGIServer):
-    """Serves ``application`` on ``host:port`` with at most ``workers`` requests at a time."""
+    """Serves ``application`` on ``address`` with at most ``workers`` requests at a time."""
 
     multithread = True
     request_queue_size = _BACKLOG
@@ -118,22 +117,22 @@
 
     @property
     def address(self) -> str:
-        """The bound address, with the real port."""
+        """The bound ``host:port``; a requested port 0 is replaced by the assigned one."""
         return f"{self.server_address[0]!s}:{self.server_address[1]}"
 
     def process_request(self, request: Any, client_address: Any) -> None:
-        """Hand a connection to a worker, or refuse it at once."""
+        """Pass a connection to a free worker, or refuse it at once."""
         if not self._slots.acquire(blocking=False):
             self._refuse(request)
             return
         self._pool.submit(self._serve, request, client_address)
 
     def start(self) -> None:
-        """Serve on a thread of the server's own until :meth:`stop`."""
+        """Serve on a new thread until :meth:`stop`."""
         threading.Thread(target=self.serve_forever, args=(0.1,), daemon=True).start()
 
     def stop(self, *, wait: bool = True) -> None:
-        """Take no new connection and, if ``wait``, finish the running ones."""
+        """Accept no more connections; with ``wait``, finish the running requests."""
         self.shutdown()
         self.socket.close()
         self._pool.shutdown(wait=wait)
--- a/winchfork/gateway/stored_request_runner.py
+++ b/winchfork/gateway/stored_request_runner.py
@@ -1,4 +1,4 @@
-"""Runs stored requests through the same routing as callers' requests."""
+"""Runs stored requests through the same routing as those of connected callers."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from winchfork.gateway.generation import GenerationRouter
 from winchfork.gateway.requests import CallerContext, GenerationRequest
 
-#: One run of a stored request; a run that takes longer is given up and the request tried again.
+#: Bounds one run of a stored request, which is run again if it exceeds this.
 RUN_DEADLINE_S = 600.0
 
 
 class StoredRequestRunner:
-    """The ``run_request`` of :class:`winchfork.cluster.waiting_work.WaitingWork`."""
+    """Provides ``run_request`` of :class:`winchfork.cluster.waiting_work.WaitingWork`."""
 
     def __init__(self, state: DaemonState, generations: GenerationRouter) -> None:
         self._state = state
@@ -27,7 +27,7 @@
         configuration = self._state.configuration.current
         pool = configuration.pools.get(stored.pool)
         if pool is None:
-            return FailureKind.NO_REPLICA.because(f"pool {stored.pool} is not configured now")
+            return FailureKind.NO_REPLICA.because(f"pool {stored.pool} is not configured")
         traffic_class = configuration.traffic_class(stored.traffic_class)
         if isinstance(traffic_class, Failure):
             return traffic_class
--- a/winchfork/gateway/stream_progress.py
+++ b/winchfork/gateway/stream_progress.py
@@ -1,4 +1,4 @@
-"""What a caller has received of a stream so far; survives the attempts."""
+"""The part of a stream that a caller has received, across all attempts of its request."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class StreamProgress:
-    """The text passed on; a piece counts only if it continues the stream."""
+    """Forwards the pieces that continue the stream, and keeps the text and tokens forwarded."""
 
     def __init__(self, deliver: Callable[[str], Failure | None]) -> None:
         self.tokens = 0
@@ -20,11 +20,11 @@
 
     @property
     def text(self) -> str:
-        """Everything passed on."""
+        """All text forwarded."""
         return "".join(self.parts)
 
     def forward(self, piece: StreamPiece) -> Failure | None:
-        """Pass one piece on if it continues the stream; drop a repeat; refuse a gap."""
+        """Forward a piece that continues the stream; ignore a repeat; fail on any other piece."""
         if piece.offset + piece.token_count <= self.tokens:
             return None
         if piece.offset != self.tokens:
