--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests; `python -m tests.run` runs all of them."""
+"""The test suite; `python -m tests.run` runs all of it."""
--- a/tests/fuzz.py
+++ b/tests/fuzz.py
@@ -12,11 +12,11 @@
 
 from tests.fuzz_machines import COUNTS, MACHINES
 
-_EXAMPLES_A_ROUND = 40
+_EXAMPLES_PER_ROUND = 40
 
 
 def main() -> int:
-    """Fuzz until the time is up; exit code 1 at the first violation, with its shortest run."""
+    """Fuzz until the time is up or a round finds violations; return 1 if there are any."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=300.0)
     parser.add_argument("--seed", type=int, default=1)
@@ -31,7 +31,7 @@
                 run_state_machine_as_test(
                     seeded,
                     settings=settings(
-                        max_examples=_EXAMPLES_A_ROUND,
+                        max_examples=_EXAMPLES_PER_ROUND,
                         stateful_step_count=80,
                         database=None,
                         deadline=None,
--- a/tests/fuzz_machines.py
+++ b/tests/fuzz_machines.py
@@ -1,4 +1,4 @@
-"""Rule-based machines: the core under random failures, against oracles that know only the outside.
+"""Rule-based machines: the core under random failures, checked from outside by simple oracles.
 
 Each machine counts its steps and the faults it injected, by kind, in ``COUNTS``.
 """
@@ -45,14 +45,14 @@
 
 
 class _Command:
-    """One command as its caller sees it."""
+    """A command, its executions, and the answers that its caller received."""
 
     def __init__(self, key: str, stamp_s: float) -> None:
         self.key = key
         self.stamp_s = stamp_s
         self.executions = 0
         self.awaited_attempt: _Attempt | None = None
-        self.told_not_run = False
+        self.answered_not_run = False
         self.answers: list[bytes] = []
 
 
@@ -68,9 +68,9 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Commands over three daemons: restarts, cuts, clock steps, a store that fails, panel changes.
+    """Commands over three daemons: restarts, lost messages, clock steps, store outages, new panels.
 
-    The oracle counts executions by key and what callers were told; nothing else.
+    The oracle uses only the executions of each command and the answers to its caller.
     """
 
     def __init__(self) -> None:
@@ -113,15 +113,15 @@
     def retry_command(self, data: st.DataObject, daemon: str) -> None:
         COUNTS["step"] += 1
         command = data.draw(st.sampled_from(self.commands))
-        if not command.told_not_run and not command.answers:
+        if not command.answered_not_run and not command.answers:
             COUNTS["caller retry"] += 1
             self._begin(command, daemon, first_send=False)
 
     @rule(daemon=st.sampled_from(_DAEMONS), new=st.booleans(), data=st.data())
     def press_on(self, daemon: str, new: bool, data: st.DataObject) -> None:
-        """The common course: a send, or a retry, whose messages arrive and which then dispatches.
+        """Send or retry a command, deliver all messages, and dispatch it.
 
-        Without it most runs end before a single claim is won.
+        Without this rule, most runs end before any claim is won.
         """
         COUNTS["step"] += 1
         if new or not self.commands:
@@ -130,7 +130,7 @@
             self._begin(command, daemon, first_send=True)
         else:
             command = data.draw(st.sampled_from(self.commands))
-            if command.told_not_run or command.answers:
+            if command.answered_not_run or command.answers:
                 return
             COUNTS["caller retry"] += 1
             self._begin(command, daemon, first_send=False)
@@ -182,7 +182,7 @@
         if command.awaited_attempt is not attempt:
             return
         if outcome == b"refused" or ran is RunState.NOT_RUN:
-            command.told_not_run = True
+            command.answered_not_run = True
         elif outcome is not None:
             command.answers.append(outcome)
 
@@ -195,10 +195,10 @@
     @precondition(lambda self: any(item.in_flight for item in self.attempts.values()))
     @rule(data=st.data(), fate=st.sampled_from(("answered", "answer lost", "never arrives")))
     def engine_takes(self, data: st.DataObject, fate: str) -> None:
-        """The relay executes what it was sent, whatever became of the sender."""
+        """Execute a dispatched command, even if its sender has crashed since."""
         COUNTS["step"] += 1
-        flying = [item for item in self.attempts.values() if item.in_flight]
-        attempt = data.draw(st.sampled_from(flying))
+        in_flight = [item for item in self.attempts.values() if item.in_flight]
+        attempt = data.draw(st.sampled_from(in_flight))
         attempt.in_flight = False
         if fate == "never arrives":
             COUNTS["dispatch lost"] += 1
@@ -342,7 +342,7 @@
     @invariant()
     def not_run_is_true(self) -> None:
         for command in self.commands:
-            assert not (command.told_not_run and command.executions), command.key
+            assert not (command.answered_not_run and command.executions), command.key
 
     @invariant()
     def answers_are_their_own(self) -> None:
@@ -378,7 +378,7 @@
         self.index = CacheIndex()
         settings = EngineSettings(cache_blocks=6)
         self.engines = {name: EngineModel(settings, ReplicaIdentity(1, 1)) for name in self.ENGINES}
-        # A daemon knows a replica's incarnation from its first report on.
+        # A daemon learns a replica's incarnation from its first report.
         for name in self.ENGINES:
             self.index.fence(name, 1)
         self.positions = dict.fromkeys(self.ENGINES, 0)
@@ -461,8 +461,8 @@
     @invariant()
     def nothing_is_believed_of_a_dead_incarnation(self) -> None:
         for name, engine in self.engines.items():
-            beliefs = self.index._replicas.get(name)
-            assert beliefs is None or beliefs.incarnation == engine.identity.incarnation
+            cached = self.index._replicas.get(name)
+            assert cached is None or cached.incarnation == engine.identity.incarnation
 
     @invariant()
     def tenants_and_versions_never_match_each_other(self) -> None:
@@ -480,7 +480,7 @@
 
 
 class StreamMachine(RuleBasedStateMachine):
-    """Pieces late, doubled, missing and from other attempts; the caller's text stays a prefix."""
+    """Pieces that are late, repeated, missing or from other attempts; the text stays a prefix."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -517,7 +517,7 @@
 
 
 class DocumentMachine(RuleBasedStateMachine):
-    """Revisions spread between three daemons over a network that loses, doubles and reorders."""
+    """Revisions spread between three daemons; the network loses, duplicates and reorders parts."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -581,7 +581,7 @@
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Every offered request is admitted once, refused at once, or still waiting; none vanishes."""
+    """Every offered request is admitted once, refused at once, or still waiting; none is lost."""
 
     LIMITS = AdmissionLimits(max_open=5, max_waiting=8)
 
@@ -606,14 +606,14 @@
         ticket = Ticket(
             name, tenant, f"c{priority}", priority, may_wait, self.now_s + patience_s, self.now_s
         )
-        verdict = self.queue.offer(ticket, self.now_s)
-        if verdict is AdmissionOutcome.ADMITTED:
+        outcome = self.queue.offer(ticket, self.now_s)
+        if outcome is AdmissionOutcome.ADMITTED:
             self.open[name] = may_wait
-        elif verdict is AdmissionOutcome.QUEUED:
+        elif outcome is AdmissionOutcome.QUEUED:
             self.waiting.add(name)
         else:
             COUNTS["admission refusal"] += 1
-            assert isinstance(verdict, Failure) and verdict.ran is RunState.NOT_RUN
+            assert isinstance(outcome, Failure) and outcome.ran is RunState.NOT_RUN
 
     @precondition(lambda self: self.open)
     @rule(data=st.data(), service_s=st.floats(0, 10))
@@ -652,7 +652,7 @@
 
 
 class RetryMachine(RuleBasedStateMachine):
-    """Over any run of failures, retries stay a share of the requests plus the burst."""
+    """Under any sequence of failures, retries stay within the budget's ratio plus its burst."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/loopback_case.py
+++ b/tests/loopback_case.py
@@ -1,4 +1,4 @@
-"""A test case of whole routers among stand-ins, with callers of streams at random."""
+"""A test case with whole routers, stand-in replicas and callers that send random streams."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def stream_request(number: int, family: int) -> bytes:
-    """Return a short streamed request of a prompt family."""
+    """Return a short request of a prompt family whose answer is streamed."""
     return (
         f"POST /review/x HTTP/1.1\r\nHost: proofs.example\r\nX-Request-Id: stream-{number}\r\n"
         f"X-Key: {API_KEY}\r\nX-Deadline-Ms: 5000\r\nX-Model: {MODEL}\r\nX-Token-Usage: 400,8\r\n"
@@ -41,7 +41,7 @@
         self.statuses: list[int] = []
 
     async def ask(self, router: int) -> ReceivedAnswer:
-        """Send one stream to a router."""
+        """Send one request to a router and read its streamed answer."""
         number = len(self.senders)
         self.senders[f"stream-{number}"] = Sender(router, asyncio.get_running_loop().time())
         host, _, port = self.deployment.settings[router].caller_address.rpartition(":")
@@ -55,14 +55,14 @@
         return answer
 
     async def send_for(self, seconds: float) -> None:
-        """Send streams to routers at random, and wait for their answers."""
-        asked = []
+        """Send requests to random routers for a while, and wait for all answers."""
+        pending = []
         for _ in range(int(seconds * STREAMS_PER_S)):
-            asked.append(asyncio.create_task(self.ask(self.random.randrange(self.routers))))
+            pending.append(asyncio.create_task(self.ask(self.random.randrange(self.routers))))
             await asyncio.sleep(1.0 / STREAMS_PER_S)
-        await asyncio.gather(*asked)
+        await asyncio.gather(*pending)
 
     def models_by_requests(self) -> list[ReplicaServer]:
-        """Return the model replicas, the one that got most requests first."""
+        """Return the model replicas, those with the most requests first."""
         models = self.deployment.model_replicas
         return sorted(models, key=lambda model: len(model.notices.arrivals), reverse=True)
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,8 +1,8 @@
 """Runs every test and ends with the line `N passed, N failed`.
 
-Tests named in KNOWN-RED.txt (one line each: test, cause, issue) are run and printed, and do not
-decide the verdict. Modules that only compute, on virtual clocks and over state spaces, run beside
-the others in a few processes of their own: alone they would take half of the time.
+Tests listed in KNOWN-RED.txt (one line each: test, cause, issue) are run and printed, but do not
+change the exit status. Modules that only compute run in separate processes, in parallel with the
+others.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 _ROOT = Path(__file__).resolve().parent.parent
 _KNOWN_RED = _ROOT / "KNOWN-RED.txt"
 _TESTS = _ROOT / "tests"
-#: Modules without sockets, processes and waiting, the longest first.
+#: Modules that use no sockets, processes or real time, the longest first.
 COMPUTING_MODULES = (
     "test_claim_spec",
     "test_quota_fleet",
@@ -34,13 +34,13 @@
     "test_store_copies",
     "test_restored_entries",
 )
-#: Processes for them: with the main one, half of the cores of a small machine.
+#: Processes for these modules, beside the main one.
 COMPUTING_PROCESSES = 3
 
 
 @dataclasses.dataclass(frozen=True)
 class SuiteResult:
-    """What some modules' tests came to; ``bad`` holds the ids of those that failed."""
+    """The result of some modules' tests; ``bad`` holds the ids of those that failed."""
 
     ran: int
     bad: tuple[str, ...]
@@ -54,7 +54,7 @@
 
 
 def known_red() -> set[str]:
-    """Return the ids of the tests that are known to fail."""
+    """Return the ids of the tests listed in KNOWN-RED.txt."""
     if not _KNOWN_RED.exists():
         return set()
     lines = _KNOWN_RED.read_text().splitlines()
@@ -62,7 +62,7 @@
 
 
 def run_modules(modules: list[str], output: io.StringIO | None = None) -> SuiteResult:
-    """Run the tests of some modules; what the runner prints goes to ``output`` if given."""
+    """Run the tests of some modules; the runner prints to ``output`` if given."""
     configure_logs("error")
     suite = unittest.defaultTestLoader.loadTestsFromNames([f"tests.{name}" for name in modules])
     result = unittest.TextTestRunner(stream=output, verbosity=1).run(suite)
@@ -73,7 +73,7 @@
 
 
 def run_captured(module: str) -> SuiteResult:
-    """Run one module in this process and keep what is printed."""
+    """Run one module in this process and capture its output."""
     return run_modules([module], io.StringIO())
 
 
@@ -83,20 +83,20 @@
     others = [name for name in modules if name not in COMPUTING_MODULES]
     context = multiprocessing.get_context("spawn")
     with concurrent.futures.ProcessPoolExecutor(COMPUTING_PROCESSES, context) as pool:
-        apart = [pool.submit(run_captured, name) for name in COMPUTING_MODULES]
-        here = run_modules(others)
-        return [here, *(future.result() for future in apart)]
+        separate = [pool.submit(run_captured, name) for name in COMPUTING_MODULES]
+        in_process = run_modules(others)
+        return [in_process, *(future.result() for future in separate)]
 
 
 def outcome_of(name: str, bad: list[str]) -> str:
-    """Return what became of a case that is known to fail; commands are run by hand."""
+    """Return the outcome of a listed test; a listed command is not run here."""
     if not name.startswith("tests."):
         return "not run here"
     return "failed" if name in bad else "passed"
 
 
 def main() -> int:
-    """Run the tests; 0 when every test outside KNOWN-RED.txt passed."""
+    """Run the tests; return 0 when every test outside KNOWN-RED.txt passed."""
     results = run_all()
     for result in results[1:]:
         print(result.output, file=sys.stderr)
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Shared helpers: waiting on conditions, and a whole fleet on loopback."""
+"""Shared test helpers: waiting for a condition, and a whole fleet on loopback."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from winchfork.emulator.workload import Deployment
 from winchfork.errors import Failure
 
-#: Longest wait for a condition; a bound against hanging, not an asserted time.
+#: Bounds the wait for a condition; not an asserted duration.
 MAX_WAIT_S = 30.0
 _POLL_S = 0.02
 
 
 def wait_for(condition: Callable[[], bool], what: str) -> None:
-    """Return once the condition holds; fail loudly if it never does."""
+    """Return once the condition holds; fail after ``MAX_WAIT_S``. ``what`` names it."""
     deadline_s = time.monotonic() + MAX_WAIT_S
     while not condition():
         if time.monotonic() > deadline_s:
-            raise AssertionError(f"never happened: {what}")
+            raise AssertionError(f"timed out waiting for {what}")
         time.sleep(_POLL_S)
 
 
 class LoopbackFleet:
-    """Emulated engines and platform with real daemons on loopback."""
+    """Emulated engines and platform, with real daemons, on loopback."""
 
     def __init__(self, deployment: Deployment) -> None:
         self.deployment = deployment
@@ -36,7 +36,7 @@
         self.fleet = DevFleet(self.emulated)
         failure = self.fleet.start()
         if failure is not None:
-            # What has started would keep the test run from ending.
+            # Threads left running would keep the test run from ending.
             self.fleet.stop()
             self.emulated.stop()
             raise AssertionError(str(failure))
@@ -77,7 +77,7 @@
         return answer
 
     def complete(self, prompt: str, tokens: int, number: int = 0) -> HttpAnswer:
-        """Ask for a whole completion."""
+        """Request a completion that is not streamed."""
         body = {"model": self.deployment.model, "prompt": prompt, "max_tokens": tokens}
         return self.post("/v1/completions", body, number)
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures brought about on a whole loopback fleet: crashes, outages, lost answers, races."""
+"""Injects crashes, outages, lost answers and races into a whole loopback fleet."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         self._crash(0)
         for engine in range(2):
             self.fleet.fault_engine(engine, accepting=True)
-        wait_for(lambda: self._fetch(waiting_id)["status"] == "done", "the answer is recorded")
+        wait_for(lambda: self._fetch(waiting_id)["status"] == "done", "the answer to be recorded")
         self.assertEqual(self._fetch(waiting_id)["text"], answer_text(prompt, 5))
 
     def _fetch(self, waiting_id: str) -> dict[str, str]:
@@ -58,13 +58,13 @@
         found: dict[str, str] = json.loads(answer.body)
         return found
 
-    def test_planned_stop_cuts_no_stream(self) -> None:
+    def test_planned_stop_truncates_no_stream(self) -> None:
         prompts = [f"a stream during a stop {number}" for number in range(6)]
         with ThreadPoolExecutor(6) as pool:
             pending = [pool.submit(self.fleet.complete, prompt, 80, 0) for prompt in prompts]
             daemon = self.fleet.fleet.daemons[0]
             assert daemon is not None
-            wait_for(lambda: daemon.state.admission.open_count == 6, "all six are running")
+            wait_for(lambda: daemon.state.admission.open_count == 6, "all six streams to run")
             daemon.stop()
             self.fleet.fleet.daemons[0] = None
             answers = [future.result() for future in pending]
@@ -75,9 +75,12 @@
     def test_restarted_daemon_serves_with_the_store_down(self) -> None:
         self.fleet.emulated.platform.inject({"down": True})
         self._crash(1)
-        # The port may be taken for a moment by an outgoing connection of this very process.
-        wait_for(lambda: self.fleet.fleet.start_daemon(1) is None, "the daemon starts")
-        wait_for(lambda: self.fleet.complete("first", 2, 1).status == 200, "it serves")
+        # An outgoing connection of this process may hold the port for a moment.
+        wait_for(lambda: self.fleet.fleet.start_daemon(1) is None, "the daemon to start")
+        wait_for(
+            lambda: self.fleet.complete("first", 2, 1).status == 200,
+            "the restarted daemon to serve",
+        )
 
 
 class StoreAndOperatorTest(unittest.TestCase):
@@ -88,7 +91,7 @@
         cls.fleet = LoopbackFleet(_SMALL)
         cls.addClassCleanup(cls.fleet.stop)
 
-    def test_waiting_work_is_refused_not_lost_when_the_store_is_down(self) -> None:
+    def test_waiting_request_is_refused_not_lost_when_the_store_is_down(self) -> None:
         self.fleet.emulated.platform.inject({"down": True})
         headers = self.fleet.headers(Prefer="respond-async", X_Winchfork_Class="overnight")
         body = {"model": _SMALL.model, "prompt": "x", "max_tokens": 2}
@@ -98,7 +101,7 @@
         self.assertEqual((error["code"], error["ran"]), ("store_unavailable", "not_run"))
         self.assertIn("retry-after", answer.headers)
 
-    def test_configuration_with_its_answer_lost_is_accepted_and_in_force(self) -> None:
+    def test_configuration_is_installed_although_the_answer_of_its_write_is_lost(self) -> None:
         operator = self.fleet.fleet.operator(0)
         current = operator.get_configuration()
         assert not isinstance(current, Failure)
@@ -112,10 +115,10 @@
                 daemon.state.configuration.current.revision == reply.revision
                 for daemon in self.fleet.fleet.running()
             ),
-            "it is in force at every daemon",
+            "every daemon to install the configuration",
         )
 
-    def test_racing_operators_one_wins_and_the_other_gets_a_typed_conflict(self) -> None:
+    def test_one_of_racing_operators_wins_and_the_others_get_a_typed_conflict(self) -> None:
         current = self.fleet.fleet.operator(0).get_configuration()
         assert not isinstance(current, Failure)
 
@@ -133,7 +136,7 @@
             assert isinstance(conflict, Failure)
             self.assertIs(conflict.kind, FailureKind.REVISION_CONFLICT)
 
-    def test_all_daemons_keep_the_configuration_when_the_store_loses_sight_of_it(self) -> None:
+    def test_daemons_install_no_configuration_of_the_same_or_a_lower_revision(self) -> None:
         revision = self.fleet.fleet.running()[0].state.configuration.current.revision
         for daemon in self.fleet.fleet.running():
             self.assertFalse(daemon.state.configuration.install(revision, Configuration()))
@@ -163,8 +166,8 @@
 
         def is_done() -> bool:
             for number in range(3):
-                # Each daemon routes meanwhile, and meets replicas that have changed under it. On a
-                # starved machine a report can time out, which is a typed refusal and not a fault.
+                # Daemons route while replicas change. On a starved machine a replica's report can
+                # time out, which gives a typed refusal and is no fault.
                 answer = fleet.complete(f"during {number}", 1, number)
                 if answer.status != 200:
                     self.assertEqual(json.loads(answer.body)["error"]["ran"], "not_run")
@@ -176,7 +179,7 @@
             ]
             return seen == [2] * 6
 
-        wait_for(is_done, "every daemon sees the new weights on every replica")
+        wait_for(is_done, "every daemon to see the new weights on every replica")
 
 
 class FenceTest(unittest.TestCase):
@@ -197,7 +200,7 @@
         assert isinstance(late, Failure)
         self.assertIs(late.kind, FailureKind.FENCE_MISMATCH)
 
-    def test_paused_leader_stops_by_its_own_clock(self) -> None:
+    def test_paused_leader_loses_its_lease_by_its_own_clock(self) -> None:
         store = EtcdJsonStore(HttpClient(), [self.fleet.emulated.platform.address])
         now_s = [0.0]
         leader = Leadership(store, "/leader", "one", clock=lambda: now_s[0])
@@ -209,7 +212,7 @@
         other = Leadership(store, "/leader", "two")
         self.assertEqual(other.acquire_or_renew(), 0)
 
-    def test_weights_changed_in_mid_queue_are_noticed_and_nothing_old_is_reused(self) -> None:
+    def test_weights_change_invalidates_the_cached_prompt(self) -> None:
         prompt = "a prompt that is cached under old weights " * 400
         self.fleet.complete(prompt, 2)
         for engine in self.fleet.emulated.engines:
@@ -219,7 +222,7 @@
         usage = json.loads(answer.body)["usage"]
         self.assertEqual(usage["prompt_tokens_details"]["cached_tokens"], 0)
 
-    def test_crashed_engine_is_not_believed_to_hold_anything(self) -> None:
+    def test_crashed_engine_reuses_no_cached_prompt(self) -> None:
         prompt = "a prompt whose engine comes back empty " * 400
         self.fleet.complete(prompt, 2)
         for engine in range(2):
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""The rule-based machines, at a size for CI; derandomized, so that every run is the same."""
+"""Runs the rule-based machines at a size for CI; derandomized, so that runs are repeatable."""
 
 from __future__ import annotations
 
--- a/tests/test_gateway_suspension.py
+++ b/tests/test_gateway_suspension.py
@@ -1,8 +1,6 @@
-"""The first gateway after its machine was suspended.
+"""Suspension of the gateway's machine, during which ``CLOCK_MONOTONIC`` does not advance.
 
-While a machine is asleep, ``CLOCK_MONOTONIC`` stands still and ``CLOCK_BOOTTIME`` does not. The
-gateway read the former: a leader that had slept for 30 s took its lease of 6 s for valid, and the
-deadlines of callers moved by as much.
+Guards against leases and callers' deadlines that ignore the time of the suspension.
 """
 
 from __future__ import annotations
@@ -17,16 +15,16 @@
 from winchfork.gateway.caller import Caller, StoredRequestWaiter
 from winchfork.stores.key_value import KeyValueStore
 
-_SLEEPS_S = (1.0, 5.0, 30.0)
+_SUSPENSIONS_S = (1.0, 5.0, 30.0)
 
 
-def asleep(for_s: float) -> mock._patch[object]:
-    """Have the machine wake from a suspension of that length."""
+def suspended(for_s: float) -> mock._patch[object]:
+    """Advance ``time.clock_gettime`` as a suspension of ``for_s`` seconds does."""
     read = time.clock_gettime
     return mock.patch("time.clock_gettime", lambda clock: read(clock) + for_s)
 
 
-def willing_store() -> KeyValueStore:
+def granting_store() -> KeyValueStore:
     """Return a store that grants a lease and the first write."""
     store = mock.create_autospec(KeyValueStore)
     store.get.return_value = None
@@ -36,22 +34,22 @@
 
 
 class SuspendedGatewayTest(unittest.TestCase):
-    def test_a_leader_that_slept_past_its_lease_leads_no_more(self) -> None:
-        for slept_s in _SLEEPS_S:
-            leader = Leadership(willing_store(), "/leader", "one")
+    def test_leader_loses_a_lease_that_expires_during_a_suspension(self) -> None:
+        for suspended_s in _SUSPENSIONS_S:
+            leader = Leadership(granting_store(), "/leader", "one")
             self.assertTrue(leader.acquire_or_renew())
-            with asleep(slept_s):
-                self.assertEqual(leader.still_valid(), slept_s == 1.0, slept_s)
+            with suspended(suspended_s):
+                self.assertEqual(leader.still_valid(), suspended_s == 1.0, suspended_s)
 
-    def test_the_deadlines_of_callers_pass_while_asleep(self) -> None:
+    def test_deadlines_pass_during_a_suspension(self) -> None:
         connection, other = socket.socketpair()
         self.addCleanup(connection.close)
         self.addCleanup(other.close)
         deadline_at_s = boot_seconds() + 3.0
-        for slept_s in _SLEEPS_S:
-            with asleep(slept_s):
+        for suspended_s in _SUSPENSIONS_S:
+            with suspended(suspended_s):
                 for waiter in (
                     Caller(connection, deadline_at_s),
                     StoredRequestWaiter(deadline_at_s),
                 ):
-                    self.assertEqual(waiter.check() is None, slept_s == 1.0, slept_s)
+                    self.assertEqual(waiter.check() is None, suspended_s == 1.0, suspended_s)
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path on loopback: callers, daemons, engines, platform, operators."""
+"""End-to-end tests on loopback: callers, daemons, engines, platform and operators."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     def tearDownClass(cls) -> None:
         cls.fleet.stop()
 
-    def test_completion_is_whole_and_explained_at_another_daemon(self) -> None:
+    def test_completion_is_explained_by_another_daemon(self) -> None:
         answer = self.fleet.complete("one prompt", 7)
         body = json.loads(answer.body)
         self.assertEqual(body["choices"][0]["text"], answer_text("one prompt", 7))
@@ -45,7 +45,7 @@
         cached = json.loads(answer.body)["usage"]["prompt_tokens_details"]["cached_tokens"]
         self.assertEqual(cached, 4 * 1024)
 
-    def test_another_tenant_with_the_same_text_reuses_nothing(self) -> None:
+    def test_another_tenant_reuses_no_cached_prompt(self) -> None:
         prompt = "the same text for everyone " * 700
         self.fleet.complete(prompt, 2)
         key = _SMALL.api_key(_SMALL.tenants[1])
@@ -55,7 +55,7 @@
         usage = json.loads(answer.body)["usage"]
         self.assertEqual(usage["prompt_tokens_details"]["cached_tokens"], 0)
 
-    def test_streams_broken_on_the_way_arrive_whole(self) -> None:
+    def test_streams_that_break_arrive_complete(self) -> None:
         for fault in ({"break_streams": True}, {"crash": True}):
             with self.subTest(fault=fault):
                 self._break_during_stream(fault)
@@ -66,7 +66,7 @@
         prompt = f"a prompt for {sorted(fault)}"
         with ThreadPoolExecutor(1) as pool:
             pending = pool.submit(self.fleet.complete, prompt, 60)
-            wait_for(self._is_running, "the request reached an engine")
+            wait_for(self._is_running, "the request to run on an engine")
             for number in range(_SMALL.engine_replicas):
                 self.fleet.fault_engine(number, **fault)
             answer = pending.result()
@@ -83,7 +83,7 @@
         key = new_command_key()
         path = f"/v1/pools/{_SMALL.application_pool}/app/stop"
         headers = self.fleet.headers(Idempotency_Key=key)
-        wait_for(lambda: self._claims_open(), "the voters have authority for fresh keys")
+        wait_for(lambda: self._voters_grant_claims(), "the voters to vote on new keys")
         answers = [
             self.fleet.post(path, b"stop turbine 9", number=number, headers=headers)
             for number in range(3)
@@ -96,14 +96,14 @@
         )
         self.assertEqual(runs, 1)
 
-    def _claims_open(self) -> bool:
+    def _voters_grant_claims(self) -> bool:
         headers = self.fleet.headers(
             Idempotency_Key=new_command_key(), X_Winchfork_First_Send="true"
         )
         path = f"/v1/pools/{_SMALL.application_pool}/app/probe"
         return self.fleet.post(path, b"probe", headers=headers).status == 200
 
-    def test_drained_back_end_gets_nothing_new(self) -> None:
+    def test_drained_replica_gets_no_new_request(self) -> None:
         operator = self.fleet.fleet.operator()
         reply = operator.set_draining("engine-0", True)
         assert not isinstance(reply, Failure), reply
@@ -115,7 +115,7 @@
                 for replica in [daemon.state.fleet.get("engine-0")]
                 if replica is not None
             ),
-            "every daemon knows of the drain",
+            "every daemon to mark the replica as leaving",
         )
         before = len(self.fleet.emulated.engines[0]._executions)
         for number in range(9):
@@ -123,7 +123,7 @@
         self.assertEqual(len(self.fleet.emulated.engines[0]._executions), before)
         operator.set_draining("engine-0", False)
 
-    def test_what_is_not_http_gets_a_typed_refusal(self) -> None:
+    def test_unparsable_http_gets_a_typed_refusal(self) -> None:
         host, _, port = self.fleet.fleet.settings[0].daemon.http_address.rpartition(":")
         too_many = b"".join(b"X-%d: 1\r\n" % number for number in range(300))
         for sent in (
--- a/tests/virtual_loop.py
+++ b/tests/virtual_loop.py
@@ -1,4 +1,4 @@
-"""An event loop on a virtual clock: sleeping costs nothing and every run is the same."""
+"""An event loop on a virtual clock: sleeping takes no real time, and runs are deterministic."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """Advances the loop's clock in place of waiting."""
+    """Advances the loop's clock instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -25,7 +25,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop whose time moves only when nothing is left to do."""
+    """An event loop whose time advances only while no task is ready."""
 
     def __init__(self) -> None:
         self._jumping = _JumpingSelector()
@@ -39,13 +39,13 @@
 
 
 def stall_loop(seconds: float) -> None:
-    """Let time pass in which nothing runs: every timer that ends meanwhile is late."""
+    """Advance the clock while nothing runs, so that timers due in this time fire late."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualLoop)
     loop.advance(seconds)
 
 
-#: Virtual seconds after which a scenario that waits for something has failed.
+#: Virtual seconds after which a scenario times out.
 MAX_SCENARIO_S = 300.0
 
 
@@ -55,7 +55,7 @@
 
 
 def run_virtually(main: Coroutine[Any, Any, _Result]) -> _Result:
-    """Run a coroutine on a loop of its own; one that never ends fails."""
+    """Run a coroutine on a new virtual loop; ``TimeoutError`` after ``MAX_SCENARIO_S``."""
     loop = VirtualLoop()
     try:
         asyncio.set_event_loop(loop)
