--- a/winchfork/cluster/panel_manager.py
+++ b/winchfork/cluster/panel_manager.py
@@ -23,7 +23,7 @@
 from winchfork.stores.key_value import Entry, KeyValueStore
 
 _RECONCILE_PERIOD_S = 1.0
-#: Time without a sighting after which a voter is replaced; longer than a restart.
+#: A voter is replaced once it has been absent this long, which is longer than a restart.
 REPLACE_AFTER_S = 60.0
 #: Delay after the start before panels are formed, so that membership is complete.
 _FORM_AFTER_S = 3.0
--- a/winchfork/cluster/state.py
+++ b/winchfork/cluster/state.py
@@ -74,7 +74,7 @@
         return ClaimMargins(claims.future_margin_s, claims.restart_margin_s, claims.retention_s)
 
     def record_decision(self, request_id: str, step: str, reason: str, **details: Any) -> None:
-        """Add a step to the decision log and write it as an event."""
+        """Add a step to the decision log and log it as an event."""
         event = DecisionEvent(time.time(), step, reason, details)
         with self.lock:
             self.decisions.record(request_id, event)
--- a/winchfork/cluster/transport.py
+++ b/winchfork/cluster/transport.py
@@ -33,7 +33,7 @@
         self._socket.bind(split_address(address))
         self._socket.settimeout(_POLL_S)
         host, port = self._socket.getsockname()[:2]
-        #: The bound address, with the real port.
+        #: The bound ``host:port``; a requested port 0 is replaced by the assigned one.
         self.address = f"{host}:{port}"
         self._codec = codec
         self._nonces = itertools.count(1)
--- a/winchfork/cluster/waiting_work.py
+++ b/winchfork/cluster/waiting_work.py
@@ -299,7 +299,7 @@
 def _not_accepted(failure: Failure) -> Failure:
     return FailureKind.STORE_UNAVAILABLE.because(
         f"the request was not accepted: {failure.reason}",
-        remedy="send it again after the given time",
+        remedy="retry after the given time",
         ran=RunState.NOT_RUN,
         retry_after_s=2.0,
     )
--- a/winchfork/gateway/requests.py
+++ b/winchfork/gateway/requests.py
@@ -103,7 +103,7 @@
             "the body did not arrive in time", remedy="send the whole body without pauses"
         )
     except (ClientDisconnected, OSError):
-        return FailureKind.CALLER_LEFT.because("the connection ended inside the body")
+        return FailureKind.CALLER_LEFT.because("the connection ended before the body was complete")
 
 
 def parse_generation(body: bytes, *, is_chat: bool) -> GenerationRequest | Failure:
