--- a/tests/loopback_case.py
+++ b/tests/loopback_case.py
@@ -40,7 +40,7 @@
         self.senders: dict[str, Sender] = {}
         self.statuses: list[int] = []
 
-    async def ask(self, router: int) -> ReceivedAnswer:
+    async def send_request(self, router: int) -> ReceivedAnswer:
         """Send one request to a router and read its streamed answer."""
         number = len(self.senders)
         self.senders[f"stream-{number}"] = Sender(router, asyncio.get_running_loop().time())
@@ -58,7 +58,9 @@
         """Send requests to random routers for a while, and wait for all answers."""
         pending = []
         for _ in range(int(seconds * STREAMS_PER_S)):
-            pending.append(asyncio.create_task(self.ask(self.random.randrange(self.routers))))
+            pending.append(
+                asyncio.create_task(self.send_request(self.random.randrange(self.routers)))
+            )
             await asyncio.sleep(1.0 / STREAMS_PER_S)
         await asyncio.gather(*pending)
 
--- a/tests/run.py
+++ b/tests/run.py
@@ -21,7 +21,7 @@
 _KNOWN_RED = _ROOT / "KNOWN-RED.txt"
 _TESTS = _ROOT / "tests"
 #: Modules that use no sockets, processes or real time, the longest first.
-COMPUTING_MODULES = (
+CPU_BOUND_MODULES = (
     "test_claim_spec",
     "test_quota_fleet",
     "test_zone_hubs",
@@ -35,22 +35,22 @@
     "test_restored_entries",
 )
 #: Processes for these modules, beside the main one.
-COMPUTING_PROCESSES = 3
+CPU_BOUND_PROCESSES = 3
 
 
 @dataclasses.dataclass(frozen=True)
 class SuiteResult:
-    """The result of some modules' tests; ``bad`` holds the ids of those that failed."""
+    """The result of some modules' tests; ``failed_ids`` holds the ids of those that failed."""
 
     ran: int
-    bad: tuple[str, ...]
+    failed_ids: tuple[str, ...]
     skipped: int
     output: str = ""
 
     @property
     def passed(self) -> int:
         """Tests that ran and did not fail."""
-        return self.ran - len(self.bad) - self.skipped
+        return self.ran - len(self.failed_ids) - self.skipped
 
 
 def known_red() -> set[str]:
@@ -66,10 +66,10 @@
     configure_logs("error")
     suite = unittest.defaultTestLoader.loadTestsFromNames([f"tests.{name}" for name in modules])
     result = unittest.TextTestRunner(stream=output, verbosity=1).run(suite)
-    bad = [test.id() for test, _ in (*result.failures, *result.errors)]
-    bad += [test.id() for test in result.unexpectedSuccesses]
+    failed_ids = [test.id() for test, _ in (*result.failures, *result.errors)]
+    failed_ids += [test.id() for test in result.unexpectedSuccesses]
     text = output.getvalue() if output is not None else ""
-    return SuiteResult(result.testsRun, tuple(bad), len(result.skipped), text)
+    return SuiteResult(result.testsRun, tuple(failed_ids), len(result.skipped), text)
 
 
 def run_captured(module: str) -> SuiteResult:
@@ -80,19 +80,19 @@
 def run_all() -> list[SuiteResult]:
     """Run every module of the folder."""
     modules = sorted(path.stem for path in _TESTS.glob("test_*.py"))
-    others = [name for name in modules if name not in COMPUTING_MODULES]
+    others = [name for name in modules if name not in CPU_BOUND_MODULES]
     context = multiprocessing.get_context("spawn")
-    with concurrent.futures.ProcessPoolExecutor(COMPUTING_PROCESSES, context) as pool:
-        separate = [pool.submit(run_captured, name) for name in COMPUTING_MODULES]
+    with concurrent.futures.ProcessPoolExecutor(CPU_BOUND_PROCESSES, context) as pool:
+        separate = [pool.submit(run_captured, name) for name in CPU_BOUND_MODULES]
         in_process = run_modules(others)
         return [in_process, *(future.result() for future in separate)]
 
 
-def outcome_of(name: str, bad: list[str]) -> str:
+def outcome_of(name: str, failed_ids: list[str]) -> str:
     """Return the outcome of a listed test; a listed command is not run here."""
     if not name.startswith("tests."):
         return "not run here"
-    return "failed" if name in bad else "passed"
+    return "failed" if name in failed_ids else "passed"
 
 
 def main() -> int:
@@ -100,11 +100,11 @@
     results = run_all()
     for result in results[1:]:
         print(result.output, file=sys.stderr)
-    bad = [name for result in results for name in result.bad]
+    failed_ids = [name for result in results for name in result.failed_ids]
     red = known_red()
     for name in sorted(red):
-        print(f"known red: {name} ({outcome_of(name, bad)})")
-    failed = [name for name in bad if name not in red]
+        print(f"known red: {name} ({outcome_of(name, failed_ids)})")
+    failed = [name for name in failed_ids if name not in red]
     sys.stderr.flush()
     passed = sum(result.passed for result in results)
     print(f"{passed} passed, {len(failed)} failed", flush=True)
