--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the users' platform on loopback; they speak its published protocol."""
+"""Stand-ins for the platform's store, replicas and operators, on loopback and with its protocol."""
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,4 +1,7 @@
-"""``python -m standins``: the deployment on loopback until interrupted, with a line to try it."""
+"""Run the loopback deployment until it is interrupted and print a curl command for one request.
+
+Usage: ``python -m standins``.
+"""
 
 from __future__ import annotations
 
@@ -20,8 +23,8 @@
         "X-Token-Usage": "1460,40",
         "X-Prefix-Hash": "5c1e07a2:800,91bd3f06:410,e4402b7d:250",
     }
-    words = " ".join(f"-H '{name}: {value}'" for name, value in headers.items())
-    return f"curl -N -X POST {words} http://{address}/review/page-1"
+    options = " ".join(f"-H '{name}: {value}'" for name, value in headers.items())
+    return f"curl -N -X POST {options} http://{address}/review/page-1"
 
 
 async def _serve() -> None:
@@ -39,7 +42,7 @@
 
 
 def main() -> int:
-    """Run until SIGINT or SIGTERM."""
+    """Run the deployment until SIGINT or SIGTERM; return the exit code."""
     configure_logs("info", sys.stdout)
     asyncio.run(_serve())
     return 0
--- a/standins/answer_faults.py
+++ b/standins/answer_faults.py
@@ -1,4 +1,4 @@
-"""Faulty software of a replica: which of its answers are spoiled, and how."""
+"""Simulate faulty replica software: answers that fail or are slow."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 
 class ReplicaFault(enum.Enum):
-    """What is wrong with a replica's software."""
+    """The kinds of faulty software.
+
+    FAILS and SLOW affect a share of the answers at once; FAILS_LATE behaves like FAILS after a
+    delay.
+    """
 
     NONE = "none"
     FAILS = "fails"
@@ -16,30 +20,31 @@
     FAILS_LATE = "fails_late"
 
 
-#: Part of its answers that a fault spoils, how much longer a slow one takes, in seconds, and how
-#: long after it was set a late fault begins.
+#: Share of the answers that a fault affects.
 FAULTY_SHARE = 0.4
+#: Delay of a slow answer.
 SLOW_ANSWER_DELAY_S = 0.25
+#: Time between setting FAILS_LATE and its first failed answer.
 LATE_FAULT_DELAY_S = 2.0
 
 
 class AnswerFaultInjector:
-    """Draws the spoiled answers of one replica."""
+    """Draws at random, from a seed, which answers of one replica are faulty."""
 
     def __init__(self, seed: str) -> None:
         self._generator = random.Random(seed)
         self._fault = ReplicaFault.NONE
         self._since_s = 0.0
-        #: Answers spoiled so far.
+        #: Number of faulty answers so far.
         self.faulty_answers = 0
 
     def set_fault(self, fault: ReplicaFault) -> None:
-        """Make the software faulty from now on."""
+        """Apply a fault from now on; NONE ends it."""
         self._fault = fault
         self._since_s = asyncio.get_running_loop().time()
 
     def draw_fault(self) -> ReplicaFault:
-        """Return what happens to the next answer: it fails, is slow, or none of both."""
+        """Return what happens to the next answer: FAILS, SLOW or NONE."""
         if self._fault is ReplicaFault.NONE:
             return ReplicaFault.NONE
         age_s = asyncio.get_running_loop().time() - self._since_s
@@ -48,5 +53,5 @@
         if self._generator.random() >= FAULTY_SHARE:
             return ReplicaFault.NONE
         self.faulty_answers += 1
-        slow = self._fault is ReplicaFault.SLOW
-        return ReplicaFault.SLOW if slow else ReplicaFault.FAILS
+        is_slow = self._fault is ReplicaFault.SLOW
+        return ReplicaFault.SLOW if is_slow else ReplicaFault.FAILS
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -1,7 +1,7 @@
-"""A whole deployment in one process on loopback: store, replicas, and real router processes' code.
+"""A whole deployment in one process on loopback: the store, replicas and real routers.
 
-The routers are built from the same parts as ``python3 -m winchfork.platform`` and read a settings
-text in the platform's form; each has a loopback address of its own, since peers share one port.
+The routers use the same adapters as ``python3 -m winchfork.platform`` and read settings in the
+platform's format. Each router has a loopback address of its own, because all peers share one port.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 
 MODEL = "himal-70b"
 API_KEY = "school-key-1"
-#: The key of a tenant whose requests come before those of the route's own priority.
+#: The API key of a tenant whose priority is higher than the route's.
 URGENT_API_KEY = "press-key-1"
 ZONES = ("thamel", "patan", "bhaktapur")
-#: Repeats that deployments allow their routers; the stand-ins' settings allow none.
+#: The retry budget that ``allow_retries`` sets; the stand-ins' settings allow no retries.
 RETRY_ALLOWANCE = RetryAllowance(ratio=0.2, slack=56.0, window_s=10.0)
 _CONFIGURATION = {
     "Version": 1,
@@ -90,20 +90,20 @@
 
 
 def node_id(zone: str, number: int = 0) -> str:
-    """Return the name of a zone's router; ``number`` tells those after the first three apart."""
+    """Return the node id of a zone's router; a ``number`` above the number of zones is appended."""
     return f"front-{zone}-{number}" if number > len(ZONES) else f"front-{zone}"
 
 
 @dataclasses.dataclass(frozen=True)
 class WeightsTiming:
-    """The bound on replaced weights that routers are told, and how long a load takes."""
+    """The bound on replaced weights in the routers' settings, and the duration of a load."""
 
     version_bound_s: float = 8.0
     load_duration_s: float = 0.1
 
 
 class PlatformStandins:
-    """What routers run among: the store, four model replicas and two application replicas."""
+    """The stand-ins around the routers: the store, four model and two application replicas."""
 
     def __init__(self, weights_timing: WeightsTiming | None = None) -> None:
         self.weights_timing = weights_timing or WeightsTiming()
@@ -119,10 +119,10 @@
         ]
         for replica in self.model_replicas:
             replica.load_duration_s = self.weights_timing.load_duration_s
-        #: Every replica that was ever started.
+        #: All replicas, including those that have stopped.
         self.all_model_replicas = list(self.model_replicas)
         self.all_application_replicas = list(self.application_replicas)
-        #: The operators of the two services' software.
+        #: One operator for the software of each service.
         self.model_rollouts = RolloutOperator(
             self.store, "models", self.model_replicas, self._new_model_replica
         )
@@ -147,7 +147,7 @@
         return replica
 
     async def start(self) -> None:
-        """Start the store with a configuration, and the replicas."""
+        """Start the store with a configuration and version 1 of the weights, and the replicas."""
         await self.store.start()
         self.store.put("op/config", self._configuration)
         self.publish_weights(1)
@@ -155,7 +155,7 @@
             await replica.start()
 
     def add_api_key(self, key: str) -> None:
-        """Give the first tenant one more key, as a newer configuration does."""
+        """Publish a newer configuration in which the first tenant has another API key."""
         self._configuration["Version"] += 1
         self._configuration["Tenants"][0]["ApiKeys"].append(key)
         self.store.put("op/config", self._configuration)
@@ -167,11 +167,11 @@
         await self.store.stop()
 
     def publish_weights(self, version: int) -> None:
-        """Name new weights, as operators do."""
+        """Publish new weights, as an operator does."""
         self.weights_operator.publish(version)
 
     def settings_text(self, number: int, zone: str, store_address: str = "") -> str:
-        """Return the settings file of router ``number``, in the platform's form."""
+        """Return the settings of router ``number`` in the platform's format."""
         ip = f"127.0.0.{number}"
         front_port, readiness_port = free_ports(2, ip)
         lines = [
@@ -192,7 +192,7 @@
 
 
 class LoopbackDeployment(PlatformStandins):
-    """Three routers, or more, in this process among the stand-ins."""
+    """The stand-ins and routers (one a zone by default) in this process."""
 
     def __init__(self, routers: int = len(ZONES)) -> None:
         super().__init__()
@@ -202,7 +202,7 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Start everything; the routers learn the rest from the store."""
+        """Start the stand-ins and the routers; ``wait_until_ready`` waits for the routers."""
         await super().start()
         for number, zone in enumerate(self._zones, start=1):
             self._add_router(number, zone)
@@ -218,27 +218,27 @@
         self.tasks.append(asyncio.create_task(router.run()))
 
     async def wait_until_ready(self) -> None:
-        """Return once every router wants callers."""
+        """Wait until every router is ready and knows at least one replica."""
         while not all(router.state.ready and len(router.state.fleet) for router in self.routers):
             await asyncio.sleep(0.02)
 
     def allow_retries(self) -> None:
-        """Let the routers repeat requests, as those do that have run for a whole window."""
+        """Set a retry budget on every router, as if it had run for a whole window."""
         for router in self.routers:
             started_s = router.state.clock() - RETRY_ALLOWANCE.window_s
             router.state.retry_budget = SlidingRetryBudget(RETRY_ALLOWANCE, started_s)
 
     def crash_leader(self) -> RouterSettings | None:
-        """Stop the duties of the router that leads, without a word; return its settings."""
+        """Cancel the leader's tasks as a crash does; return its settings, None without a leader."""
         for router, settings in zip(self.routers, self.settings, strict=True):
             if router.state.leader_id == settings.node_id:
-                for duty in router._tasks:
-                    duty.cancel()
+                for task in router._tasks:
+                    task.cancel()
                 return settings
         return None
 
     async def restart_routers(self) -> None:
-        """Stop every router, and start others in their places that know nothing of before."""
+        """Replace every router by a new one without state; wait until they are ready."""
         await self._stop_routers()
         self.settings.clear()
         self.routers.clear()
@@ -248,7 +248,7 @@
         await self.wait_until_ready()
 
     async def stop(self) -> None:
-        """Stop everything, the routers as planned."""
+        """Stop the routers with a planned stop, then the stand-ins."""
         await self._stop_routers()
         await super().stop()
 
--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, silences, cuts one way or resets the connections through it."""
+"""A TCP proxy on loopback that delays, stalls, resets or refuses the connections through it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 
 
 class Fault(enum.Enum):
-    """What happens to bytes on their way."""
+    """What the proxy does to the traffic.
+
+    DELAY delays each read, STALL holds bytes in both directions, STALL_ANSWERS only those from the
+    target. REFUSE resets new connections; ANSWER_503 answers in place of the target.
+    """
 
     NONE = "none"
     DELAY = "delay"
@@ -27,9 +31,9 @@
 
 
 class FaultProxy:
-    """Forwards to one address. Silenced bytes go on when the fault ends, as on a healed link.
+    """Forwards connections to one address and applies the fault that is set in ``fault``.
 
-    REFUSE resets what connects, TURN_AWAY answers 503 in the target's place.
+    Stalled bytes are delivered when the fault ends, as after a network partition.
     """
 
     def __init__(self, target: str) -> None:
@@ -42,12 +46,12 @@
         self.address = ""
 
     async def start(self) -> None:
-        """Listen on loopback."""
+        """Listen on a free loopback port and set ``address``."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     async def stop(self) -> None:
-        """Stop and end every connection."""
+        """Stop listening and reset every connection."""
         if self._server is not None:
             self._server.close()
         self.reset_all()
@@ -58,7 +62,7 @@
             _reset(writer)
 
     def blackhole_open_connections(self) -> None:
-        """Lose whatever comes and goes on the connections open now; new ones work."""
+        """Drop all further bytes on the connections that are open now; new connections work."""
         self._blackholed |= self._writers
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -68,21 +72,21 @@
         host, _, port = self._target.rpartition(":")
         self._writers.add(writer)
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(host, int(port))
         except OSError:
             writer.transport.abort()
             return
-        self._writers.add(far_writer)
+        self._writers.add(target_writer)
         tasks = [
-            asyncio.create_task(self._forward(reader, far_writer, reply_writer=writer)),
-            asyncio.create_task(self._forward(far_reader, writer)),
+            asyncio.create_task(self._forward(reader, target_writer, reply_writer=writer)),
+            asyncio.create_task(self._forward(target_reader, writer)),
         ]
-        # Cancelled when the loop ends: what is open ends with it.
+        # Cancelled at the end of the event loop: the connections are still closed below.
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in tasks:
             task.cancel()
-        for each in (writer, far_writer):
+        for each in (writer, target_writer):
             self._writers.discard(each)
             self._blackholed.discard(each)
             each.transport.abort()
@@ -93,7 +97,11 @@
         writer: asyncio.StreamWriter,
         reply_writer: asyncio.StreamWriter | None = None,
     ) -> None:
-        """Pass bytes on; ``back`` is where answers to them go, None for answers themselves."""
+        """Copy bytes until the connection ends.
+
+        ``reply_writer`` is the client's side when ``reader`` carries requests, and None when it
+        carries answers.
+        """
         try:
             while data := await reader.read(_PIECE_BYTES):
                 await self._delay_or_stall(answers=reply_writer is None)
--- a/standins/http_server.py
+++ b/standins/http_server.py
@@ -1,4 +1,4 @@
-"""A minimal HTTP/1.1 server for the stand-ins: one handler, one request at a time a connection."""
+"""A minimal HTTP/1.1 server for the stand-ins, without pipelining, with a single handler."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 from winchfork.emulator.free_ports import free_port
 
-#: Another listener may take a port between its being named and its being bound.
+#: Retries for a free port that another process binds first.
 _MAX_BIND_ATTEMPTS = 20
 _BIND_RETRY_DELAY_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """A request, read whole. Header names are in lower case."""
+    """A complete request; header names are in lower case."""
 
     method: str
     path: str
@@ -35,7 +35,7 @@
     body: bytes = b"",
     headers: dict[str, str] | None = None,
 ) -> None:
-    """Write an answer with a length."""
+    """Write an answer with a Content-Length header."""
     lines = [f"HTTP/1.1 {status} Status"]
     lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
     lines += [f"Content-Length: {len(body)}", "", ""]
@@ -43,7 +43,7 @@
 
 
 class HttpServer:
-    """Listens on loopback; ``address`` is known once started."""
+    """Listens on loopback; ``address`` is empty before the first start."""
 
     def __init__(self, handler: Handler, ip: str = "127.0.0.1") -> None:
         self._handler = handler
@@ -55,7 +55,7 @@
         self.address = ""
 
     async def start(self) -> None:
-        """Listen on a free port, or where it listened before."""
+        """Listen on a free port, or again on the previous one; raise OSError if binding fails."""
         for _ in range(_MAX_BIND_ATTEMPTS):
             port = int(self.address.rpartition(":")[2]) if self.address else free_port(self._ip)
             try:
@@ -65,18 +65,18 @@
                 continue
             self.address = f"{self._ip}:{port}"
             return
-        raise OSError(f"{self.address or self._ip} cannot be bound")
+        raise OSError(f"cannot bind to {self.address or self._ip}")
 
     def blackhole_open_connections(self) -> None:
-        """Lose whatever comes and goes on the connections open now; new ones work."""
+        """Drop all further requests and answers on the connections open now; new ones work."""
         self._blackholed |= self._writers
 
     def is_blackholed(self, writer: asyncio.StreamWriter) -> bool:
-        """Tell whether answers on a connection are lost."""
+        """Return whether requests and answers on a connection are dropped."""
         return writer in self._blackholed
 
     async def stop(self) -> None:
-        """Stop listening and end every connection at once, as a crash does."""
+        """Stop listening and abort every connection, as a crash does."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
--- a/standins/limit_checks.py
+++ b/standins/limit_checks.py
@@ -1,4 +1,8 @@
-"""The promise on limits: a replica that names how many requests a second it takes gets no more."""
+"""Check that a replica that announces a request limit receives no more requests than it allows.
+
+Requests count from ``LIMIT_PROPAGATION_S`` after the first announcement on, and only those of
+routers that have received the limit.
+"""
 
 from __future__ import annotations
 
@@ -8,20 +12,20 @@
 from standins.notice_checks import IsExcused, Sender, never_excused
 from standins.notice_emitter import AnnouncedLimit, Arrival, NoticeEmitter
 
-#: Seconds over which requests are counted.
+#: Length of a window in which requests are counted.
 WINDOW_S = 4.0
-#: Seconds after the first answer with a limit from which on it holds.
+#: Time from the first answer with a limit until requests are counted.
 LIMIT_PROPAGATION_S = 3.0
-#: Seconds after an answer with a limit from which on its router is bound by it.
+#: Time from an answer with a limit until its router must apply it.
 LIMIT_APPLY_DELAY_S = 0.5
-#: What a window may hold: so many times what the limit allows in it, and so many requests more.
+#: Bound on the requests in a window: the limit times this factor, plus these extra requests.
 MAX_RATE_FACTOR = 1.5
 MAX_EXTRA_REQUESTS = 5
 
 
 @dataclasses.dataclass(frozen=True)
 class WindowCount:
-    """Requests of bound routers within one window, and how many were allowed."""
+    """Requests in one window from routers that must apply the limit."""
 
     requests: int
     limit_per_s: float
@@ -29,19 +33,19 @@
 
     @property
     def allowed(self) -> float:
-        """The most that the promise allows."""
+        """The highest number of requests that passes the check."""
         return MAX_RATE_FACTOR * self.limit_per_s * WINDOW_S + MAX_EXTRA_REQUESTS
 
     @property
     def excess(self) -> float:
-        """How many came beyond that; negative where fewer came."""
+        """The number of requests above ``allowed``; negative below it."""
         return self.requests - self.allowed
 
 
 def worst_window(
     notices: NoticeEmitter, senders: Mapping[str, Sender], excused: IsExcused = never_excused
 ) -> WindowCount | None:
-    """Return the window in which most came beyond what was allowed; None without a limit."""
+    """Return the window with the highest excess, or None if no window has a limit."""
     counts = list(_windows(notices, senders, excused))
     return max(counts, key=lambda count: count.excess, default=None)
 
@@ -51,7 +55,7 @@
     senders: Mapping[str, Sender],
     excused: IsExcused = never_excused,
 ) -> list[str]:
-    """Return a line for each replica that got more than the limit that it had named."""
+    """Return a line for each replica that received more requests than its limit allows."""
     broken = []
     for replica_id, notices in replicas:
         worst = worst_window(notices, senders, excused)
@@ -68,32 +72,32 @@
 ) -> Iterable[WindowCount]:
     if not notices.limited_answers:
         return
-    heard_s: dict[int, float] = {}
+    first_received_s: dict[int, float] = {}
     for answer in notices.limited_answers:
         router = senders[answer.request_id].router
-        heard_s[router] = min(answer.at_s, heard_s.get(router, answer.at_s))
-    holds_s = notices.limited_answers[0].at_s + LIMIT_PROPAGATION_S
+        first_received_s[router] = min(answer.at_s, first_received_s.get(router, answer.at_s))
+    counted_from_s = notices.limited_answers[0].at_s + LIMIT_PROPAGATION_S
 
     def is_bound(arrival: Arrival) -> bool:
         router = senders[arrival.request_id].router
-        known_s = heard_s.get(router)
-        if known_s is None or known_s + LIMIT_APPLY_DELAY_S > arrival.at_s:
+        first_s = first_received_s.get(router)
+        if first_s is None or first_s + LIMIT_APPLY_DELAY_S > arrival.at_s:
             return False
         return not excused(router, arrival.at_s - WINDOW_S, arrival.at_s)
 
-    bound = [item for item in notices.arrivals if item.at_s >= holds_s and is_bound(item)]
+    bound = [item for item in notices.arrivals if item.at_s >= counted_from_s and is_bound(item)]
     first = 0
     for number, arrival in enumerate(bound):
         while bound[first].at_s <= arrival.at_s - WINDOW_S:
             first += 1
-        per_s = _max_limit(notices.limits, bound[first].at_s, arrival.at_s)
-        if per_s is not None:
-            yield WindowCount(number - first + 1, per_s, arrival.at_s)
+        limit_per_s = _max_limit(notices.limits, bound[first].at_s, arrival.at_s)
+        if limit_per_s is not None:
+            yield WindowCount(number - first + 1, limit_per_s, arrival.at_s)
 
 
 def _max_limit(limits: Sequence[AnnouncedLimit], from_s: float, until_s: float) -> float | None:
-    """Return the highest limit that held in a time; None if none was named in some of it."""
-    most = None
+    """Return the highest limit within an interval, or None if part of it had no limit."""
+    highest = None
     ends_s = [item.since_s for item in limits[1:]] + [float("inf")]
     if not limits or limits[0].since_s > from_s:
         return None
@@ -102,5 +106,5 @@
             continue
         if limit.per_s is None:
             return None
-        most = max(limit.per_s, most or 0.0)
-    return most
+        highest = max(limit.per_s, highest or 0.0)
+    return highest
--- a/standins/notice_checks.py
+++ b/standins/notice_checks.py
@@ -1,4 +1,4 @@
-"""Promises on what replicas say in their answers: one that leaves, or rests, is left alone."""
+"""Check that routers stop sending to a replica whose answers announce draining or a backoff."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 from standins.notice_emitter import Backoff, NoticeEmitter
 
-#: Seconds after a router had the word of a replica that leaves in which it may send to it still.
+#: Time after a draining answer in which its router may still send to the replica.
 DRAINING_GRACE_S = 2.0
-#: Seconds after a replica has asked for rest in which requests may still be on their way.
+#: Time after a backoff answer in which arrivals count as already in flight.
 IN_FLIGHT_S = 0.5
-#: Requests of one router that may reach a replica within its rest.
+#: Requests of one router that may reach a replica within its backoff.
 MAX_DURING_BACKOFF = 2
 
 
 class IsExcused(Protocol):
-    """Whether a router may have forgotten between two times what it had heard, or stood still."""
+    """Tells whether a router may have lost its state or been stalled within an interval."""
 
     def __call__(self, router: int, from_s: float, until_s: float) -> bool:
-        """Tell it of a router."""
+        """Return whether the router is excused between ``from_s`` and ``until_s``."""
         ...
 
 
 def never_excused(router: int, from_s: float, until_s: float) -> bool:
-    """Excuse nothing."""
+    """Return False: no router is excused."""
     return False
 
 
 @dataclasses.dataclass(frozen=True)
 class Sender:
-    """The router that a caller sent a request to, and when, by the loop's clock."""
+    """The router that a caller sent a request to, and the time on the event loop's clock."""
 
     router: int
     sent_at_s: float = 0.0
@@ -41,19 +41,23 @@
 def sent_to_draining(
     notices: NoticeEmitter, senders: Mapping[str, Sender], excused: IsExcused = never_excused
 ) -> list[str]:
-    """Return the requests sent to a router long after it had heard that the replica leaves."""
-    heard: dict[int, list[float]] = {}
+    """Return the ids of requests sent more than ``DRAINING_GRACE_S`` after a draining answer.
+
+    A request is compared with the draining answers that its own router received; the time at which
+    the caller sent it counts.
+    """
+    received: dict[int, list[float]] = {}
     for answer in notices.draining_answers:
-        heard.setdefault(senders[answer.request_id].router, []).append(answer.at_s)
+        received.setdefault(senders[answer.request_id].router, []).append(answer.at_s)
     late = []
     for arrival in notices.arrivals:
         sender = senders[arrival.request_id]
         early = [
-            heard_s
-            for heard_s in heard.get(sender.router, ())
-            if heard_s < sender.sent_at_s - DRAINING_GRACE_S
+            received_s
+            for received_s in received.get(sender.router, ())
+            if received_s < sender.sent_at_s - DRAINING_GRACE_S
         ]
-        # What it heard last and early enough is forgotten the least.
+        # The latest of these answers leaves the shortest interval in which state can be lost.
         if early and not excused(sender.router, max(early), arrival.at_s):
             late.append(arrival.request_id)
     return late
@@ -62,14 +66,14 @@
 def reached_during_backoff(
     notices: NoticeEmitter, senders: Mapping[str, Sender], excused: IsExcused = never_excused
 ) -> Counter[str]:
-    """Return, by the request that was turned away, how many of its router came within the rest."""
+    """Count, by the id of the refused request, its router's arrivals within the backoff."""
     counts: Counter[str] = Counter()
     for backoff in notices.backoffs:
         router = senders[backoff.request_id].router
         if excused(router, backoff.at_s, backoff.until_s):
             continue
         counts[backoff.request_id] = sum(
-            _is_in_rest(arrival.at_s, backoff) and senders[arrival.request_id].router == router
+            _is_in_backoff(arrival.at_s, backoff) and senders[arrival.request_id].router == router
             for arrival in notices.arrivals
         )
     return counts
@@ -80,7 +84,7 @@
     senders: Mapping[str, Sender],
     excused: IsExcused = never_excused,
 ) -> list[str]:
-    """Return a line for each replica that was not left alone as it had asked."""
+    """Return a line for each replica that received too many requests after such an answer."""
     broken = []
     for replica_id, notices in replicas:
         late = sent_to_draining(notices, senders, excused)
@@ -99,5 +103,5 @@
     return broken
 
 
-def _is_in_rest(at_s: float, backoff: Backoff) -> bool:
+def _is_in_backoff(at_s: float, backoff: Backoff) -> bool:
     return backoff.at_s + IN_FLIGHT_S < at_s < backoff.until_s
--- a/standins/notice_emitter.py
+++ b/standins/notice_emitter.py
@@ -1,4 +1,4 @@
-"""What a stand-in replica says of itself in its answers, and which requests reached it since."""
+"""The notices in a stand-in replica's answers, and a record of the answers and arrivals."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Arrival:
-    """A request that reached a replica; time of the loop's clock."""
+    """A request that reached a replica; time on the event loop's clock."""
 
     request_id: str
     at_s: float
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Backoff:
-    """A request that was turned away with a wait; times of the loop's clock."""
+    """A request refused with a backoff; times on the event loop's clock."""
 
     request_id: str
     at_s: float
@@ -27,59 +27,59 @@
 
 @dataclasses.dataclass(frozen=True)
 class AnnouncedLimit:
-    """A limit in requests a second, named since then; None: none is named since then."""
+    """A limit in requests per second from ``since_s`` on; None: no limit."""
 
     per_s: float | None
     since_s: float
 
 
 class NoticeEmitter:
-    """The words of one replica, put into its answers, and a record of who had them and who came."""
+    """Adds the notices of one incarnation to its answers and records who received them."""
 
     def __init__(self) -> None:
-        #: Whether answers say that the replica leaves.
+        #: Whether answers announce that the replica drains.
         self.draining = False
-        #: Seconds of rest that each request is turned away with; None: none is turned away.
+        #: Backoff in seconds with which every request is refused; None: no refusals.
         self.backoff_s: float | None = None
-        #: Whether such an answer proves that the request did not run.
+        #: Whether a refusal states that the request did not run.
         self.proves_not_run = True
         self.arrivals: list[Arrival] = []
-        #: Answers that said that the replica leaves, as arrivals of their requests.
+        #: Arrivals of the requests whose answers announced draining.
         self.draining_answers: list[Arrival] = []
         self.backoffs: list[Backoff] = []
-        #: The limits that were named, in order.
+        #: The announced limits, in order.
         self.limits: list[AnnouncedLimit] = []
-        #: Answers that named a limit, at the time of their heads.
+        #: Answers that announced a limit, at the time when their headers were written.
         self.limited_answers: list[Arrival] = []
 
     def set_limit(self, per_s: float | None) -> None:
-        """Name a limit from now on, or none."""
+        """Announce a limit from now on; None ends the announcement."""
         self.limits.append(AnnouncedLimit(per_s, asyncio.get_running_loop().time()))
 
     @property
     def limit_per_s(self) -> float | None:
-        """The limit that is named now."""
+        """The limit that answers announce now."""
         return self.limits[-1].per_s if self.limits else None
 
     def headers(self, request: Request | None = None) -> dict[str, str]:
-        """Return what every answer carries now; note the request that is answered with it."""
+        """Return the notice headers of an answer; record its request if a limit is announced."""
         headers = {"Server-Leaving": "1"} if self.draining else {}
-        per_s = self.limit_per_s
-        if per_s is not None:
-            headers["Server-Limit"] = f"{per_s:g}"
+        limit_per_s = self.limit_per_s
+        if limit_per_s is not None:
+            headers["Server-Limit"] = f"{limit_per_s:g}"
             if request is not None:
                 self.limited_answers.append(self._arrival(request))
         return headers
 
     def record_arrival(self, request: Request) -> None:
-        """Note a request that the replica is to run or to turn away."""
+        """Record a request that the replica will run or refuse with a backoff."""
         arrival = self._arrival(request)
         self.arrivals.append(arrival)
         if self.draining:
             self.draining_answers.append(arrival)
 
     def refuse_with_backoff(self, request: Request) -> dict[str, str]:
-        """Return the headers of a 503 with a wait, and note it."""
+        """Return the headers of a 503 with the current backoff, and record it."""
         assert self.backoff_s is not None
         now_s = asyncio.get_running_loop().time()
         name = request.headers["x-request-id"]
--- a/standins/replica_server.py
+++ b/standins/replica_server.py
@@ -1,4 +1,8 @@
-"""A model replica: streams with ids, weights orders under a fence, reports; and an application."""
+"""A model replica or an application replica on loopback.
+
+A model replica streams numbered events, loads weights on orders with a fencing token and reports
+its state. An application replica answers commands at once.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReceivedOrder:
-    """An order of weights as it came; time of the loop's clock."""
+    """A received order to load weights; time on the event loop's clock."""
 
     received_at_s: float
     holder: str
@@ -26,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Generation:
-    """A request whose first token was made, and on which weights; times of the loop's clock."""
+    """A request that reached its first token, with its weights; times on the event loop's clock."""
 
     request_id: str
     replica_id: str
@@ -37,22 +41,23 @@
 
 @dataclasses.dataclass(frozen=True)
 class FatalRequest:
-    """What ends a replica that runs it, and how the replica comes back; times in seconds.
+    """A kind of request that crashes the replica that runs it, and how the replica restarts.
 
-    ``body`` is what the body of such a request begins with.
+    A request matches if its body begins with ``body_prefix``. With ``keeps_id`` the
+    replica restarts under the same id, otherwise under a new one.
     """
 
     body_prefix: bytes
     crash_after_s: float = 0.08
     restart_after_s: float = 1.5
     keeps_id: bool = False
-    #: How long the entry of the ended incarnation stays, if another id takes its place.
+    #: Lifetime of the crashed incarnation's entry; unused with ``keeps_id``.
     entry_lapses_after_s: float = 1.0
 
 
 @dataclasses.dataclass
 class FatalRun:
-    """A run of a request that ends replicas; ``ended_s`` is None unless it ended its replica."""
+    """One run of a fatal request; ``crashed_at_s`` is None if another run crashed the replica."""
 
     body: bytes
     request_id: str
@@ -61,7 +66,7 @@
 
 
 class ReplicaServer:
-    """Keeps its own entry in the store. ``model`` empty makes it an application's replica."""
+    """Serves requests and writes its entry to the store; without ``model`` for an application."""
 
     def __init__(
         self,
@@ -74,7 +79,7 @@
     ) -> None:
         self._software_version = software
         self.fault_injector = AnswerFaultInjector(replica_id)
-        #: What each incarnation of it has said in its answers, the newest last.
+        #: The notices of each incarnation, the newest last.
         self.notices_by_incarnation = [NoticeEmitter()]
         self._store = store
         self.replica_id = replica_id
@@ -89,44 +94,44 @@
         self.prefill_tokens_per_s = 40_000.0
         self.token_interval_s = 0.004
         self.load_duration_s = 0.1
-        #: Ids of the requests that ran here, in order.
+        #: Ids of the requests that ran here, in order of arrival.
         self.ran: list[str] = []
-        #: Orders as they came, and generations as they began.
+        #: Orders in order of arrival, and generations in order of their start.
         self.orders: list[ReceivedOrder] = []
         self.generations: list[Generation] = []
-        #: Breaks the next stream off inside this event; 0: none.
+        #: Truncate the next stream inside this event; 0: no truncation.
         self.truncate_at_event = 0
-        #: A request that ends this replica, if there is one, and its runs here.
+        #: The kind of request that crashes this replica, and its runs here.
         self.fatal_request: FatalRequest | None = None
         self.fatal_runs: list[FatalRun] = []
         self.started_at_ms = 0
         self._http = HttpServer(self._handle)
-        self._is_ending = False
-        self._endings: set[asyncio.Task[None]] = set()
+        self._is_crashing = False
+        self._crash_tasks: set[asyncio.Task[None]] = set()
         self._loading_task: asyncio.Task[None] | None = None
-        self._ended = False
-        self._listens = False
+        self._stopped = False
+        self._is_listening = False
 
     @property
     def notices(self) -> NoticeEmitter:
-        """What the incarnation that runs now says."""
+        """The notices of the current incarnation."""
         return self.notices_by_incarnation[-1]
 
     async def start(self) -> None:
-        """Listen, and be listed; a start after a crash has the same address."""
-        self._listens = True
+        """Listen and write the entry; the address stays the same after a crash."""
+        self._is_listening = True
         await self._http.start()
         self.started_at_ms = max(self.started_at_ms + 1, int(time.time() * 1000))
         self.announce("ready")
 
     async def stop(self) -> None:
-        """End for good: connections end, the entry goes."""
-        self._ended = True
+        """Stop for good: abort the connections and remove the entry."""
+        self._stopped = True
         (await self.crash()).lapse()
 
     async def crash(self) -> StaleEntry:
-        """End without a word; the entry stays until it lapses."""
-        self._listens = False
+        """Abort the connections and any load; return the entry, which stays until it lapses."""
+        self._is_listening = False
         await self._http.stop()
         if self._loading_task is not None:
             self._loading_task.cancel()
@@ -135,8 +140,8 @@
         return StaleEntry(self._store, key, (self._store.get_text(key) or "").encode())
 
     async def restart(self, *, keeps_id: bool = False) -> None:
-        """Begin a new incarnation after a crash, unless the replica was ended meanwhile."""
-        if self._ended or self._listens:
+        """Start a new incarnation after a crash, unless the replica was stopped or restarted."""
+        if self._stopped or self._is_listening:
             return
         if not keeps_id:
             self.replica_id += "'"
@@ -146,11 +151,11 @@
         await self.start()
 
     def blackhole_open_connections(self) -> None:
-        """Lose whatever comes and goes on the connections open now, for good."""
+        """Drop all further requests and answers on the connections that are open now."""
         self._http.blackhole_open_connections()
 
     def announce(self, state: str) -> None:
-        """Write the entry."""
+        """Write the entry with a state to the store."""
         models = [{"Name": self._model, "Version": self.weights_version}] if self._model else []
         entry = {
             "Service": self._service,
@@ -197,7 +202,7 @@
         }
 
     def _order(self, request: Request) -> int:
-        if self._is_for_another(request):
+        if self._is_misdirected(request):
             return 421
         order = json.loads(request.body)
         now_s = asyncio.get_running_loop().time()
@@ -222,11 +227,11 @@
         self.loading = False
         self.announce("ready")
 
-    def _is_for_another(self, request: Request) -> bool:
+    def _is_misdirected(self, request: Request) -> bool:
         return request.headers.get("x-expected-instance", self.replica_id) != self.replica_id
 
     def _refusal(self, request: Request) -> int:
-        if self._is_for_another(request):
+        if self._is_misdirected(request):
             return 421
         expected = request.headers.get("x-expected-version")
         if expected is not None and int(expected) != self.weights_version:
@@ -242,11 +247,11 @@
                 self.fatal_request.body_prefix
             ):
                 return await self._crash_under(self.fatal_request, request)
-            spoiled = self.fault_injector.draw_fault()
-            if spoiled is ReplicaFault.FAILS:
+            fault = self.fault_injector.draw_fault()
+            if fault is ReplicaFault.FAILS:
                 write_answer(writer, 500, b"spoiled", self._answer_headers(request))
                 return True
-            if spoiled is ReplicaFault.SLOW:
+            if fault is ReplicaFault.SLOW:
                 await asyncio.sleep(SLOW_ANSWER_DELAY_S)
             if self._model:
                 return await self._stream(request, writer, arrived_s)
@@ -257,15 +262,15 @@
             self.running -= 1
 
     async def _crash_under(self, fatal: FatalRequest, request: Request) -> bool:
-        """End some time after the request has begun, with all that runs here; come back later."""
+        """Crash the replica after a delay and restart it later; never answer the request."""
         now_s = asyncio.get_running_loop().time()
         run = FatalRun(request.body, request.headers["x-request-id"], now_s)
         self.fatal_runs.append(run)
-        if not self._is_ending:
-            self._is_ending = True
+        if not self._is_crashing:
+            self._is_crashing = True
             task = asyncio.create_task(self._crash_and_restart(fatal, run))
-            self._endings.add(task)
-            task.add_done_callback(self._endings.discard)
+            self._crash_tasks.add(task)
+            task.add_done_callback(self._crash_tasks.discard)
         await asyncio.Event().wait()
         return False
 
@@ -273,8 +278,8 @@
         await asyncio.sleep(fatal.crash_after_s)
         run.crashed_at_s = asyncio.get_running_loop().time()
         entry = await self.crash()
-        # Somebody else may start it before its time: it can end again from now on.
-        self._is_ending = False
+        # The replica may be restarted by others before its delay is over, and can crash again.
+        self._is_crashing = False
         if not fatal.keeps_id:
             asyncio.get_running_loop().call_later(fatal.entry_lapses_after_s, entry.lapse)
         await asyncio.sleep(fatal.restart_after_s)
@@ -294,9 +299,9 @@
         if writer.is_closing():
             return False
         name = request.headers["x-request-id"]
-        began_s = asyncio.get_running_loop().time()
-        begun = Generation(name, self.replica_id, self.weights_version, arrived_s, began_s)
-        self.generations.append(begun)
+        started_s = asyncio.get_running_loop().time()
+        generation = Generation(name, self.replica_id, self.weights_version, arrived_s, started_s)
+        self.generations.append(generation)
         lines = ["HTTP/1.1 200 OK", "Content-Type: text/event-stream"]
         lines += [f"{name}: {value}" for name, value in self._answer_headers(request).items()]
         lines += [
@@ -306,12 +311,12 @@
             "",
         ]
         writer.write("\r\n".join(lines).encode())
-        tear_at, self.truncate_at_event = self.truncate_at_event, 0
+        truncate_at, self.truncate_at_event = self.truncate_at_event, 0
         first = int(request.headers.get("last-event-id", "0")) + 1
         for number in range(first, int(tokens_out) + 1):
             await asyncio.sleep(self.token_interval_s)
             event = b"id: %d\ndata: piece %d\n\n" % (number, number)
-            if number == tear_at:
+            if number == truncate_at:
                 writer.write(b"%x\r\n%b" % (len(event), event[:7]))
                 await writer.drain()
                 return False
--- a/standins/rollout_operator.py
+++ b/standins/rollout_operator.py
@@ -1,4 +1,4 @@
-"""The operators' side of a software rollout: orders, new replicas, and what follows the status."""
+"""The operator of a software rollout: starts new replicas, writes the order, follows its status."""
 
 from __future__ import annotations
 
@@ -11,35 +11,34 @@
 from standins.replica_server import ReplicaServer
 from standins.store_server import StoreServer
 
-#: Seconds beyond the duration in which the status must be final, whatever fails meanwhile.
+#: Time after the rollout's duration by which its status must be final.
 _MAX_OVERRUN_S = 30.0
-#: Seconds between two looks at the status.
 _POLL_INTERVAL_S = 0.05
-#: Seconds for which replicas of a version that was rolled back serve on.
+#: Time between draining and stopping the replicas of a version that was rolled back.
 _DRAIN_S = 1.0
 
 
 @dataclasses.dataclass
 class RolloutReport:
-    """What came of one order; ``state`` is empty where the status never said."""
+    """The outcome of one order; ``state`` is empty if the status was not final in time."""
 
     service: str
     target: str
     state: str
     duration_s: float
-    #: Requests that ran since the order: at the target's replicas, and at all of the service.
+    #: Requests that ran since the order, at the target's replicas and at all replicas.
     target_requests: int
     total_requests: int
-    #: Answers of the target's replicas that its fault spoiled.
+    #: Faulty answers of the target's replicas.
     faulty_answers: int
 
 
-#: Makes a replica of a service by id and version.
+#: Creates a replica of a service from its id and software version.
 ReplicaFactory = Callable[[str, str], ReplicaServer]
 
 
 class RolloutOperator:
-    """Moves one service from version to version; holds its replicas in force."""
+    """Rolls out successive software versions of one service."""
 
     def __init__(
         self, store: StoreServer, service: str, replicas: list[ReplicaServer], make: ReplicaFactory
@@ -47,12 +46,15 @@
         self._store = store
         self._service = service
         self._make = make
-        #: The replicas of the version in force.
+        #: The replicas of the current version.
         self.replicas = replicas
         self._orders = 0
 
     async def roll_out(self, fault: ReplicaFault, duration_s: float) -> RolloutReport:
-        """Order the next version, whose replicas have a fault, and do what the status says."""
+        """Roll out the next version, whose replicas have a fault, and await the outcome.
+
+        The replicas of the version that is not in use afterwards are stopped.
+        """
         self._orders += 1
         target = f"v{self._orders + 1}"
         ids = [f"i-{self._service}-{target}-{number}" for number in range(len(self.replicas))]
@@ -64,18 +66,18 @@
         for replica in new:
             replica.fault_injector.set_fault(fault)
         order = {"Service": self._service, "TargetVersion": target, "DurationS": duration_s}
-        before = _ran(self.replicas)
+        ran_before = _ran(self.replicas)
         self._store.put(f"op/rollout/{self._service}", order)
         state = await self._await_outcome(target, ordered_s + duration_s + _MAX_OVERRUN_S)
         took_s = loop.time() - ordered_s
         on_target = _ran(new)
-        in_all = on_target + _ran(self.replicas) - before
+        total = on_target + _ran(self.replicas) - ran_before
         leaving, self.replicas = (
             (self.replicas, new) if state == "completed" else (new, self.replicas)
         )
         await self._stop(leaving, drains=state != "completed")
-        spoiled = sum(replica.fault_injector.faulty_answers for replica in new)
-        return RolloutReport(self._service, target, state, took_s, on_target, in_all, spoiled)
+        faulty = sum(replica.fault_injector.faulty_answers for replica in new)
+        return RolloutReport(self._service, target, state, took_s, on_target, total, faulty)
 
     async def _await_outcome(self, target: str, until_s: float) -> str:
         while asyncio.get_running_loop().time() < until_s:
@@ -90,7 +92,7 @@
         return dict(json.loads(value)) if value else {}
 
     async def _stop(self, replicas: list[ReplicaServer], *, drains: bool) -> None:
-        """Stop replicas at once, or let them leave as announced."""
+        """Stop replicas, after announcing that they drain if ``drains`` is set."""
         if drains:
             for replica in replicas:
                 replica.announce("draining")
--- a/standins/stale_entries.py
+++ b/standins/stale_entries.py
@@ -1,7 +1,7 @@
-"""The entry of a replica that has ended: it lapses later than the replica, and may come back.
+"""The store entry of a crashed replica, which outlives the replica and may be written late.
 
-Where the replica has returned under its id, the entry is the living one's: that writes it again
-with each heartbeat, so what was written late does not last.
+If the replica has restarted under the same id, its heartbeats rewrite the entry, so that a late
+write is only temporary.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 @dataclasses.dataclass
 class StaleEntry:
-    """What a replica had written before it ended."""
+    """The value that a replica had in the store when it crashed."""
 
     store: StoreServer
     key: str
     value: bytes
-    #: What the living replica had written where a late entry took its place.
+    #: The running replica's value that a late write replaced.
     _replaced_value: bytes | None = None
 
     def lapse(self) -> None:
-        """Remove it, as after heartbeats that did not come; a living replica's entry stays."""
+        """Expire the entry, or restore the running replica's value that a late write replaced."""
         if self._replaced_value is not None:
             self.store.put(self.key, self._replaced_value)
             self._replaced_value = None
@@ -30,12 +30,12 @@
             self.store.remove(self.key)
 
     def write_late(self) -> None:
-        """Write it once more: a heartbeat that was on its way when the replica ended."""
+        """Write the old value again, as a heartbeat that was delayed in flight."""
         current = self._current()
         if current is not None and current != self.value:
             self._replaced_value = current
         self.store.put(self.key, self.value)
 
     def _current(self) -> bytes | None:
-        held = self.store.get_text(self.key)
-        return held.encode() if held is not None else None
+        text = self.store.get_text(self.key)
+        return text.encode() if text is not None else None
--- a/standins/store_server.py
+++ b/standins/store_server.py
@@ -1,4 +1,4 @@
-"""The platform's store: items, leases, history and watches, as its pages describe them."""
+"""The platform's store, in memory: items with revisions, leases, history, watches and eras."""
 
 from __future__ import annotations
 
@@ -10,20 +10,18 @@
 
 from standins.http_server import HttpServer, Request, write_answer
 
-#: Pause between looks for changes while a watch waits.
+#: Interval at which a watch checks for changes.
 _POLL_INTERVAL_S = 0.01
 _PAGE_ITEMS = 500
-
-
-#: An entry that a copy has brought back and nobody writes lapses after this time.
+#: Time after which a restored entry lapses unless it is written again.
 RESTORED_ENTRY_LAPSE_S = 3.6
-#: What the operator and the replicas write, which they write again after the store's return.
+#: Prefixes of the operators' and replicas' items, which they write again after a restore.
 _REWRITTEN_PREFIXES = ("op/", "servers/")
 
 
 @dataclasses.dataclass(frozen=True)
 class StoreCopy:
-    """All that the store held at a moment; ``leases`` maps ids to seconds left and the whole."""
+    """A backup of the store; ``leases`` maps ids to the remaining and the full TTL in seconds."""
 
     items: dict[str, dict[str, Any]]
     history: list[dict[str, Any]]
@@ -33,9 +31,9 @@
 
 
 class StoreServer:
-    """Linearizable; ``down`` refuses every call as the platform does when it is busy.
+    """A linearizable store over HTTP; ``down`` refuses every call with 503, as the platform can.
 
-    ``era`` is named in every answer and rises with each return from a copy; 0: it is not named.
+    ``era`` is sent in every answer and rises with each restore from a backup; 0: it is not sent.
     """
 
     def __init__(self) -> None:
@@ -45,25 +43,25 @@
         self._items: dict[str, dict[str, Any]] = {}
         self._history: list[dict[str, Any]] = []
         self._leases: dict[int, tuple[float, float]] = {}
-        #: Ids are never given twice: a holder of a lease that is over must not renew another's.
+        #: Ids are never reused: the holder of an expired lease must not renew another's.
         self._last_lease = 77_000
         self._http = HttpServer(self._handle)
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The address on which the store listens, as host:port."""
         return self._http.address
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         await self._http.start()
 
     async def stop(self) -> None:
-        """Stop."""
+        """Stop listening and abort every connection."""
         await self._http.stop()
 
     def put(self, key: str, value: object, lease: int = 0) -> int:
-        """Write a JSON value (bytes are written as they are); return the revision."""
+        """Write a value, as JSON unless it is bytes; return the new revision."""
         data = value if isinstance(value, bytes) else json.dumps(value).encode()
         self.revision += 1
         item = {
@@ -78,19 +76,19 @@
         return self.revision
 
     def remove(self, key: str) -> None:
-        """Remove an item."""
+        """Remove an item if it exists."""
         if self._items.pop(key, None) is not None:
             self.revision += 1
-            gone = {"PrivateKey": key, "Revision": self.revision, "gone": True}
-            self._history.append(gone)
+            tombstone = {"PrivateKey": key, "Revision": self.revision, "gone": True}
+            self._history.append(tombstone)
 
     def get_text(self, key: str) -> str | None:
-        """Return an item's value as text."""
+        """Return an item's value as text, or None."""
         item = self._items.get(key)
         return base64.b64decode(item["Value"]).decode() if item else None
 
     def copy(self) -> StoreCopy:
-        """Return what the store holds now."""
+        """Return a backup of the current state."""
         now_s = asyncio.get_running_loop().time()
         leases = {
             lease: (until_s - now_s, ttl_s) for lease, (until_s, ttl_s) in self._leases.items()
@@ -100,7 +98,11 @@
         )
 
     def restore(self, copy: StoreCopy) -> None:
-        """Be as at an earlier moment, in a new era; operator and replicas write theirs again."""
+        """Restore a backup in a new era.
+
+        Operators and replicas write their current items again; those that only the backup has lapse
+        after ``RESTORED_ENTRY_LAPSE_S``.
+        """
         now_s = asyncio.get_running_loop().time()
         lost = self._items
         self._items = dict(copy.items)
@@ -129,7 +131,7 @@
                 )
 
     def _lapse(self, key: str, revision: int, era: int) -> None:
-        """Remove an entry that nobody has written since the store's return."""
+        """Remove a restored entry that has not been written since."""
         item = self._items.get(key)
         if item is not None and item["Revision"] == revision and self.era == era:
             self.remove(key)
