--- a/standins/soak/__init__.py
+++ b/standins/soak/__init__.py
@@ -1,7 +1,6 @@
-"""A randomized soak: real router processes, faults from outside, promises checked by callers.
+"""A randomized soak test: router processes under overlapping faults, with checks of guarantees.
 
-Routers run as processes of their own, each behind a proxy on its way to the store. Faults come from
-outside, overlap and come in series: signals, the proxies, crashes of replicas, entries of replicas
-that have ended, a store that refuses. ``faults`` says which, ``promises`` and ``weights_promises``
-what is checked while it runs and at the end.
+Each router is a process of its own and reaches the store through a fault proxy. The package
+``faults`` holds the faults. The checks are in ``checks``, ``weights_checks`` and
+``fatal_requests``, and in ``notice_checks`` and ``limit_checks`` of ``standins``.
 """
--- a/standins/soak/__main__.py
+++ b/standins/soak/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m standins.soak``: one run; 0 when no promise was broken. Logs stay in a folder."""
+"""Run one soak; exit with 0 if no check failed, else with 1. The logs stay in a new folder."""
 
 from __future__ import annotations
 
@@ -14,11 +14,13 @@
 
 
 def main() -> int:
-    """Run one soak and print what came of it."""
+    """Run one soak, print its results and return the exit code."""
     parser = argparse.ArgumentParser(prog="standins.soak", description=__doc__)
     parser.add_argument("--seed", type=int, default=random.SystemRandom().randrange(1_000_000))
     parser.add_argument("--seconds", type=float, default=120.0)
-    parser.add_argument("--earlier", metavar="COMMIT", help="the build that routers begin with")
+    parser.add_argument(
+        "--earlier", metavar="COMMIT", help="build that the routers run until their first restart"
+    )
     arguments = parser.parse_args()
     folder = Path(tempfile.mkdtemp(prefix="winchfork-soak-"))
     first_tree = unpack_build(arguments.earlier, folder) if arguments.earlier else None
--- a/standins/soak/callers.py
+++ b/standins/soak/callers.py
@@ -1,4 +1,4 @@
-"""The callers: commands and streams to every router, and what came back."""
+"""Simulated callers: they send commands and streams to every router and record the answers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from standins.notice_checks import Sender
 from standins.soak.routers import SoakRouter
 
-#: Every router has callers of its own: one that stands still holds up nobody else's.
+#: Callers are bound to one router, so that a stalled router blocks only its own.
 _CALLERS_PER_ROUTER = 3
 _ANSWER_TIMEOUT_S = 9.0
 _PAUSE_S = 0.05
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass
 class Reply:
-    """What a caller saw; status 0: no answer."""
+    """What a caller received; status 0: no answer."""
 
     status: int
     body: bytes
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class StreamReply:
-    """A stream's answer and the events it should have had."""
+    """A stream's answer; ``tokens`` is the number of events that it should have."""
 
     request_id: str
     tokens: int
@@ -39,12 +39,12 @@
 
 
 class Callers:
-    """Asks the routers until stopped, and keeps the answers."""
+    """Sends requests to the routers until stopped and records the answers."""
 
     def __init__(self, routers: Sequence[SoakRouter], seed: str) -> None:
         self._routers = routers
         self._seed = seed
-        self._asked = 0
+        self._sent = 0
         self._stop = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
         self.commands: dict[str, Reply] = {}
@@ -54,14 +54,14 @@
         self.outcomes: Counter[str] = Counter()
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start the callers of every router."""
         for router in self._routers:
             for caller in range(_CALLERS_PER_ROUTER):
                 generator = random.Random(f"{self._seed}/caller/{router.number}/{caller}")
                 self._tasks.append(asyncio.create_task(self._call(router, generator)))
 
     async def stop(self) -> None:
-        """Ask no more; return once the last answers have come."""
+        """Send no further requests; return once the last answers have arrived."""
         self._stop.set()
         await asyncio.gather(*self._tasks)
 
@@ -74,7 +74,7 @@
             await asyncio.sleep(generator.random() * _PAUSE_S)
 
     async def send_command(self, router: SoakRouter) -> Reply:
-        """Ask for something that may run at most once."""
+        """Send a command, which may run at most once."""
         request_id = self._next_id("command", router)
         reply = await send_request(router.address, "/roster/x", request_id, "")
         self.commands[request_id] = reply
@@ -82,27 +82,27 @@
         return reply
 
     async def send_stream(self, router: SoakRouter, generator: random.Random) -> Reply:
-        """Ask for a stream."""
+        """Send a request for a stream."""
         request_id = self._next_id("stream", router)
         tokens = generator.randrange(1, _MAX_TOKENS)
         family = generator.randrange(_FAMILIES)
-        extra = stream_headers(tokens, family, self._asked)
-        # Half of the bodies are the same: what many send at once must not be taken for fatal.
-        body = b"body" if self._asked % 2 else request_id.encode()
+        extra = stream_headers(tokens, family, self._sent)
+        # Half of the bodies are identical: routers must not take a frequent body for a fatal one.
+        body = b"body" if self._sent % 2 else request_id.encode()
         reply = await send_request(router.address, "/review/x", request_id, extra, body)
         self.outcomes[f"stream {reply.status}{'' if reply.is_complete else ' torn'}"] += 1
         self.streams.append(StreamReply(request_id, tokens, reply))
         return reply
 
     def _next_id(self, kind: str, router: SoakRouter) -> str:
-        self._asked += 1
-        request_id = f"{kind}-{self._asked}"
+        self._sent += 1
+        request_id = f"{kind}-{self._sent}"
         self.senders[request_id] = Sender(router.number, asyncio.get_running_loop().time())
         return request_id
 
 
 def stream_headers(tokens: int, family: int, number: int) -> str:
-    """Return the header lines of a prompt and of the tokens that are wanted."""
+    """Return the header lines for the model, the token counts and the prompt parts."""
     return (
         f"X-Model: {MODEL}\r\nX-Token-Usage: 900,{tokens}\r\n"
         f"X-Prefix-Hash: 5c1e07a2:300,{family:08x}:410,{number:08x}:190\r\n"
@@ -112,7 +112,7 @@
 async def send_request(
     address: str, path: str, request_id: str, extra: str, body: bytes = b"body"
 ) -> Reply:
-    """Send one request on a connection of its own; return what came back, if anything."""
+    """Send one request on a new connection; the status is 0 if no answer arrives."""
     host, _, port = address.rpartition(":")
     message = (
         f"POST {path} HTTP/1.1\r\nHost: proofs.example\r\nX-Request-Id: {request_id}\r\n"
--- a/standins/soak/checks.py
+++ b/standins/soak/checks.py
@@ -1,4 +1,4 @@
-"""Promises of answers, orders and rollouts; each function returns a line for each broken one."""
+"""Checks of answers, orders and rollouts; each function returns one line per violation."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from standins.soak.callers import Reply, StreamReply
 
 LEASE_BOUND_S = 3.0
-#: What a bad version may get, as the stand-ins' settings say.
+#: Exposure bounds for a faulty version, as in the stand-ins' settings: share and extra requests.
 EXPOSURE_SHARE = 0.1
 EXPOSURE_SLACK = 50
 _NOT_RUN_STATUSES = (408, 421, 429, 503)
-#: Faults that a version shows from the start: it must be told from a sound one.
+#: Faults that show from the start, so that the rollout must be rolled back.
 _IMMEDIATE_FAULTS = (ReplicaFault.FAILS, ReplicaFault.SLOW)
 
 
 def check_stream(stream: StreamReply) -> list[str]:
-    """A whole stream has every event once and in order, a torn one is a prefix."""
+    """A complete stream has every event once and in order, a truncated one has a prefix of them."""
     name, reply = stream.request_id, stream.reply
     if reply.status != 200:
         return []
@@ -36,7 +36,7 @@
 
 
 def check_unrelated_refusals(replies: Iterable[Reply]) -> list[str]:
-    """Nobody is refused for ends of replicas who has not brought them about."""
+    """No request is refused as fatal that has crashed no replica."""
     refused = sum(b"ends_replicas" in reply.body for reply in replies)
     return [f"{refused} innocent requests were refused as ending replicas"] if refused else []
 
@@ -44,7 +44,7 @@
 def check_commands(
     commands: Mapping[str, Reply], applications: Iterable[ReplicaServer]
 ) -> list[str]:
-    """A command runs at most once, and never after an answer that promises "not run"."""
+    """A command runs at most once, and not at all if its answer states that it did not run."""
     runs = Counter(name for item in applications for name in item.ran)
     broken = []
     for name, reply in commands.items():
@@ -58,7 +58,7 @@
 
 
 def check_orders(models: Iterable[ReplicaServer]) -> list[str]:
-    """One holder a fence, and holders do not take turns within the lease bound."""
+    """Each fencing token has one holder, and the holder does not change within the lease bound."""
     broken = []
     for replica in models:
         holders: dict[int, str] = {}
@@ -76,18 +76,18 @@
 
 
 def check_rollout(report: RolloutReport, fault: ReplicaFault) -> list[str]:
-    """A bad version is never put in force and gets no more than its budget."""
+    """A faulty version is rolled back within its exposure budget; every status becomes final."""
     name = f"{report.service} {report.target}"
     broken = []
     if not report.state:
         broken.append(f"{name}: the status was never final")
     if fault not in _IMMEDIATE_FAULTS:
         return broken
-    spoiled = (
+    details = (
         f"({fault.value}: {report.faulty_answers} of {report.target_requests} answers spoiled)"
     )
     if report.state == "completed":
-        broken.append(f"{name} is bad and was put in force {spoiled}")
+        broken.append(f"{name} is bad and was put in force {details}")
     if report.target_requests > EXPOSURE_SHARE * report.total_requests + EXPOSURE_SLACK:
-        broken.append(f"{name} got {report.target_requests} of {report.total_requests} {spoiled}")
+        broken.append(f"{name} got {report.target_requests} of {report.total_requests} {details}")
     return broken
--- a/standins/soak/disruptions.py
+++ b/standins/soak/disruptions.py
@@ -1,8 +1,7 @@
-"""What was disturbed when: the times within which a promise with a time bound is not held against.
+"""A log of disruptions, during which guarantees with a time bound are not checked.
 
-The store and the links are everybody's: while one of them is disturbed, and for the contact time
-after it, no bound runs. A router's own disturbance excuses the requests that this router sent, no
-others.
+A disruption of the store or of a link suspends the bounds of all routers until the contact time
+after its end. A disruption of one router excuses only the requests sent by this router.
 """
 
 from __future__ import annotations
@@ -12,9 +11,9 @@
 import math
 from collections.abc import Callable, Iterator
 
-#: Stands for the store or a link in place of a router's number.
+#: Used in place of a router's number for the store and the links.
 ALL_ROUTERS = 0
-#: What befalls a process: it forgets what it had heard, or does not run.
+#: Disruptions of a router process, which loses its state or does not run.
 KILL = "kill"
 PLANNED_STOP = "planned stop"
 STALL = "standstill"
@@ -23,7 +22,7 @@
 
 @dataclasses.dataclass
 class Disruption:
-    """One disturbance; ``ended_s`` is infinite while it lasts. Times of the loop's clock."""
+    """One disruption, in event loop time; ``ended_at_s`` is infinite while it lasts."""
 
     kind: str
     router: int
@@ -32,7 +31,7 @@
 
 
 class DisruptionLog:
-    """Keeps every disturbance of a run."""
+    """Records every disruption of a run."""
 
     def __init__(
         self, contact_s: float, clock: Callable[[], float], log_line: Callable[[str], None]
@@ -44,36 +43,39 @@
 
     @contextlib.contextmanager
     def during(self, what: str, router: int = ALL_ROUTERS) -> Iterator[None]:
-        """Note a disturbance that lasts as long as the block."""
+        """Record a disruption that lasts as long as the ``with`` block."""
         disruption = Disruption(what, router, self._clock())
         self._all.append(disruption)
-        self.log_line(f"{what} begins" + self._whose(router))
+        self.log_line(f"{what} begins" + self._router_suffix(router))
         try:
             yield
         finally:
             disruption.ended_at_s = self._clock()
-            self.log_line(f"{what} ends" + self._whose(router))
+            self.log_line(f"{what} ends" + self._router_suffix(router))
 
     def record_instant(self, what: str, router: int) -> None:
-        """Note a disturbance of a router that lasts no time, such as a reset."""
+        """Record a disruption of a router without duration, such as a connection reset."""
         now_s = self._clock()
         self._all.append(Disruption(what, router, now_s, now_s))
-        self.log_line(what + self._whose(router))
+        self.log_line(what + self._router_suffix(router))
 
     def undisturbed_since_s(self, at_s: float) -> float | None:
-        """Return since when the store and all links have been sound; None: they are not."""
+        """Return since when the store and all links have worked; None if they don't at ``at_s``.
+
+        The contact time after a disruption counts as disrupted.
+        """
         start_s = -math.inf
         for disruption in self._all:
             if disruption.router != ALL_ROUTERS or disruption.started_at_s > at_s:
                 continue
-            sound_s = disruption.ended_at_s + self._contact_s
-            if sound_s > at_s:
+            recovered_s = disruption.ended_at_s + self._contact_s
+            if recovered_s > at_s:
                 return None
-            start_s = max(start_s, sound_s)
+            start_s = max(start_s, recovered_s)
         return start_s
 
     def excuses(self, router: int, at_s: float) -> bool:
-        """Tell whether a router was disturbed itself at a moment, or shortly before."""
+        """Return whether a router was disrupted at ``at_s`` or within the contact time before."""
         return any(
             disruption.router == router
             and disruption.started_at_s <= at_s < disruption.ended_at_s + self._contact_s
@@ -81,7 +83,7 @@
         )
 
     def process_disturbed_between(self, router: int, from_s: float, until_s: float) -> bool:
-        """Tell whether a router's process was ended, started or stood still in that time."""
+        """Return whether a router's process was stopped, restarted or stalled in an interval."""
         return any(
             disruption.router == router
             and disruption.kind in PROCESS_FAULTS
@@ -91,5 +93,5 @@
         )
 
     @staticmethod
-    def _whose(router: int) -> str:
+    def _router_suffix(router: int) -> str:
         return "" if router == ALL_ROUTERS else f" at router {router}"
--- a/standins/soak/earlier_build.py
+++ b/standins/soak/earlier_build.py
@@ -1,4 +1,4 @@
-"""The tree of an earlier build, for routers that run beside those of this one."""
+"""Unpack an earlier build, whose routers run together with those of the current one."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def unpack_build(commit: str, folder: Path) -> Path:
-    """Lay a commit's tree into a new folder below ``folder`` and return it."""
+    """Unpack a commit's tree into ``folder / "earlier"`` and return that path."""
     tree = folder / "earlier"
     packed = subprocess.run(
         ["git", "archive", commit], cwd=_ROOT, check=True, capture_output=True
--- a/standins/soak/faults/__init__.py
+++ b/standins/soak/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults by what they strike: router processes, the store and the ways to it, replicas."""
+"""Faults of router processes, peer links, the store and its links, replicas and store entries."""
--- a/standins/soak/faults/context.py
+++ b/standins/soak/faults/context.py
@@ -1,4 +1,4 @@
-"""What faults strike: the routers and what they run among, and where disturbances are noted."""
+"""What the faults share: the routers, the stand-ins and the log of disruptions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class FaultContext:
-    """The parts of one run."""
+    """The parts of one soak run that faults act on."""
 
     routers: Sequence[SoakRouter]
     platform: PlatformStandins
--- a/standins/soak/faults/foreign_entries.py
+++ b/standins/soak/faults/foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries of another writer in the store, in replicas' places of their own."""
+"""Invalid entries of another writer among the replicas' entries in the store."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ForeignEntries:
-    """Writes entries that name no replica."""
+    """Writes entries that belong to no replica."""
 
     def __init__(
         self, store: StoreServer, generator: random.Random, log_line: Callable[[str], None]
@@ -32,7 +32,7 @@
         self._written = 0
 
     async def foreign_entry(self) -> None:
-        """Write one, and remove it after a while."""
+        """Write one entry and remove it after a random time."""
         self._written += 1
         key = f"servers/i-foreign-{self._written}"
         self._store.put(key, self._random.choice(_VALUES))
--- a/standins/soak/faults/peer_faults.py
+++ b/standins/soak/faults/peer_faults.py
@@ -1,4 +1,4 @@
-"""Faults between the routers' machines: what they tell each other is lost."""
+"""Faults between the routers' machines: lost datagrams."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PeerFaults:
-    """Cuts one machine at a time off from the others."""
+    """Isolates one machine at a time from the others."""
 
     def __init__(
         self, context: FaultContext, generator: random.Random, partition: NetworkPartition
@@ -25,9 +25,9 @@
         self._partition = partition
 
     async def peers_cut(self) -> None:
-        """A machine and the others lose each other's datagrams; the store answers all of them.
+        """Drop the datagrams between one machine and the others; all keep the store.
 
-        Nobody is excused: what holds by the store has to hold.
+        No router is excused, because the checked guarantees rest on the store.
         """
         router = self._random.choice(self._context.routers)
         self._context.disruptions.log_line(f"datagrams of router {router.number} are lost")
@@ -35,7 +35,7 @@
         self._context.disruptions.log_line(f"datagrams of router {router.number} pass")
 
     async def zone_cut(self) -> None:
-        """A zone's only machine loses the others and the store; callers still reach it."""
+        """Cut a zone's only machine off from the others and the store; callers still reach it."""
         free = [item for item in self._context.routers if not item.link_fault.locked()]
         if not free:
             return
--- a/standins/soak/faults/process_faults.py
+++ b/standins/soak/faults/process_faults.py
@@ -1,4 +1,4 @@
-"""Faults of router processes: killed, stopped as planned, standing still."""
+"""Faults of router processes: kills, planned stops and stalls."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from standins.soak.faults.context import FaultContext
 from standins.soak.routers import SoakRouter
 
-#: Standstills of leaders: how many in a row and how long, in seconds.
+#: Number and duration of the stalls in a series of leader stalls.
 MIN_STALLS_IN_SERIES, MAX_STALLS_IN_SERIES = 2, 4
 MIN_STALL_S, MAX_STALL_S = 2.0, 4.0
-#: How long a series waits for a router to give orders.
+#: Time for which a series waits for an order of the next leader.
 MAX_SUCCESSOR_WAIT_S = 8.0
 _POLL_INTERVAL_S = 0.01
 
 
 class ProcessFaults:
-    """Strikes one router process at a time, or one leader after the other."""
+    """Faults of a router drawn at random, or of successive leaders."""
 
     def __init__(
         self, context: FaultContext, generator: random.Random, violations: list[str]
@@ -31,7 +31,7 @@
         self._stall_count = 0
 
     async def kill(self) -> None:
-        """SIGKILL, and a start within a second."""
+        """Send SIGKILL and restart the process within a second."""
         router = self._free()
         if router is None:
             return
@@ -42,27 +42,27 @@
                 await router.start()
 
     async def planned_stop(self) -> None:
-        """SIGTERM, and a start once the process has ended."""
+        """Send SIGTERM and restart the process once it has ended."""
         router = self._free()
         if router is None:
             return
         async with router.process_fault:
             with self._context.disruptions.during(PLANNED_STOP, router.number):
-                takes_stops = router.handles_signal(signal.SIGTERM)
+                has_handler = router.handles_signal(signal.SIGTERM)
                 code = await router.end_process(signal.SIGTERM)
-                if code != 0 and (takes_stops or code != -signal.SIGTERM):
+                if code != 0 and (has_handler or code != -signal.SIGTERM):
                     self._violations.append(f"a planned stop ended with {code}")
                 await router.start()
 
     async def standstill(self) -> None:
-        """Any router stands still."""
+        """Stall a router drawn at random."""
         router = self._free()
         if router is not None:
             await self._stall(router, 0.5 + 4.0 * self._random.random())
 
     async def leader_standstills(self) -> None:
-        """Whoever gave the last order stands still, then its successor, and so on."""
-        standing = []
+        """Stall the sender of the last order, then its successor, and so on."""
+        stalls = []
         since = self._last_order()
         for _ in range(self._random.randint(MIN_STALLS_IN_SERIES, MAX_STALLS_IN_SERIES)):
             since = await self._next_order(since)
@@ -70,10 +70,10 @@
             if leader is None or leader.process_fault.locked():
                 break
             for_s = self._random.uniform(MIN_STALL_S, MAX_STALL_S)
-            standing.append(asyncio.create_task(self._stall(leader, for_s)))
-            # The task must hold the leader's lock before the next look.
+            stalls.append(asyncio.create_task(self._stall(leader, for_s)))
+            # Let the task acquire the leader's lock before the next poll.
             await asyncio.sleep(0)
-        await asyncio.gather(*standing)
+        await asyncio.gather(*stalls)
 
     async def _stall(self, router: SoakRouter, for_s: float) -> None:
         async with router.process_fault:
@@ -81,14 +81,14 @@
                 router.pause(True)
                 await asyncio.sleep(for_s)
                 self._stall_count += 1
-                # Every other one is a suspension of the machine, drawn without a draw: seeds that
-                # are kept go on to mean the same faults at the same times.
+                # Every second stall is a suspension of the machine. It is not drawn at random, so
+                # that the faults of existing seeds stay the same.
                 if self._stall_count % 2:
                     router.add_suspension(for_s)
                 router.pause(False)
 
     async def _next_order(self, since: ReceivedOrder | None) -> ReceivedOrder | None:
-        """Return an order that came after ``since``, by another holder if it had one struck."""
+        """Wait for an order other than ``since`` whose holder has no fault; None on a timeout."""
         loop = asyncio.get_running_loop()
         until_s = loop.time() + MAX_SUCCESSOR_WAIT_S
         while loop.time() < until_s:
--- a/standins/soak/faults/replica_faults.py
+++ b/standins/soak/faults/replica_faults.py
@@ -1,4 +1,4 @@
-"""Faults of replicas: crashes with late entries, torn streams, and words in answers alone."""
+"""Faults of replicas: crashes, late store entries, truncated streams and notices in answers."""
 
 from __future__ import annotations
 
@@ -11,27 +11,26 @@
 from standins.rollout_operator import RolloutOperator
 from standins.stale_entries import StaleEntry
 
-#: How long a crashed replica is away, and how long an entry outlives its replica (up to three
-#: heartbeats), at most; seconds.
+#: Time from a crash to the restart.
 MAX_DOWN_S = 2.0
+#: Time from a crash until the entry lapses: up to three heartbeats.
 MAX_LAPSE_S = 3.6
-#: How long after the return the old entry is written once more, and how long it then stays.
+#: Time from the restart to the late write of the old entry, and how long the entry then stays.
 MIN_LATE_WRITE_DELAY_S, MAX_LATE_WRITE_DELAY_S = 0.3, 2.5
 MIN_LATE_ENTRY_S, MAX_LATE_ENTRY_S = 1.0, 4.0
-#: How long a replica serves on that says in its answers alone that it leaves; how long replicas
-#: turn requests away, and the rest that they ask for; seconds.
+#: Time for which a replica serves requests while its answers announce draining.
 MIN_DRAINING_S, MAX_DRAINING_S = 2.0, 6.0
+#: Time for which replicas refuse requests with a backoff, and that backoff.
 MIN_REFUSING_S, MAX_REFUSING_S = 0.5, 4.0
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.2, 4.0
-#: How long replicas name limits, over how many values in turn, and how high they are at most, in
-#: requests a second.
+#: Duration of one announced limit, number of limits in a row, and the highest one in requests/s.
 MIN_LIMIT_DURATION_S, MAX_LIMIT_DURATION_S = 3.0, 9.0
 MAX_LIMIT_COUNT = 2
 MAX_LIMIT_PER_S = 2.0
 
 
 class ReplicaFaults:
-    """Strikes replicas of the versions in force."""
+    """Faults of the replicas that run the current software versions."""
 
     def __init__(
         self, platform: PlatformStandins, generator: random.Random, log_line: Callable[[str], None]
@@ -41,77 +40,77 @@
         self._log_line = log_line
 
     async def crash(self) -> None:
-        """A replica crashes and returns at its address; its old entry lapses before or after."""
+        """Crash a replica and restart it; its old entry lapses before or after the restart."""
         replica, entry = await self._crash(self._any_operator())
-        lapsing = asyncio.create_task(self._lapse(entry, self._random.uniform(0.0, MAX_LAPSE_S)))
+        lapse_task = asyncio.create_task(self._lapse(entry, self._random.uniform(0.0, MAX_LAPSE_S)))
         await asyncio.sleep(self._random.uniform(0.0, MAX_DOWN_S))
-        await self._return(replica)
-        await lapsing
+        await self._restart(replica)
+        await lapse_task
 
     async def crash_with_late_entry(self, operator: RolloutOperator | None = None) -> None:
-        """The old entry has lapsed, the new incarnation is listed; then the old one comes back."""
+        """Crash and restart a replica, then write the lapsed entry of its old incarnation again."""
         replica, entry = await self._crash(operator or self._any_operator())
         await self._lapse(entry, self._random.uniform(0.0, MAX_DOWN_S))
-        await self._return(replica)
+        await self._restart(replica)
         await asyncio.sleep(self._random.uniform(MIN_LATE_WRITE_DELAY_S, MAX_LATE_WRITE_DELAY_S))
         self._log_line(f"{entry.key} is written late")
         entry.write_late()
         await self._lapse(entry, self._random.uniform(MIN_LATE_ENTRY_S, MAX_LATE_ENTRY_S))
 
     async def torn_streams(self) -> None:
-        """The next stream of each replica breaks off inside an event."""
+        """Truncate the next stream of each replica inside an event."""
         for replica in self._platform.model_rollouts.replicas:
             replica.truncate_at_event = self._random.randrange(0, 6)
 
     async def leaves_by_its_answers(self) -> None:
-        """A replica says that it leaves in its answers only, serves on, ends, and starts anew."""
+        """Announce draining in a replica's answers only, crash it after a while and restart it."""
         replica = self._random.choice(self._any_operator().replicas)
         self._log_line(f"{replica.replica_id} leaves by its answers")
         replica.notices.draining = True
         await asyncio.sleep(self._random.uniform(MIN_DRAINING_S, MAX_DRAINING_S))
         self._log_line(f"{replica.replica_id} ends")
         entry = await replica.crash()
-        lapsing = asyncio.create_task(self._lapse(entry, self._random.uniform(0.0, MAX_LAPSE_S)))
-        await self._return(replica)
-        await lapsing
+        lapse_task = asyncio.create_task(self._lapse(entry, self._random.uniform(0.0, MAX_LAPSE_S)))
+        await self._restart(replica)
+        await lapse_task
 
     async def turn_away_with_a_wait(self) -> None:
-        """One or more replicas of a service, at times all, turn requests away and ask for rest."""
+        """Let some or all replicas of a service refuse requests with a backoff."""
         replicas = self._any_operator().replicas
-        struck = self._random.sample(replicas, self._random.randint(1, len(replicas)))
-        rest_s = self._random.uniform(MIN_BACKOFF_S, MAX_BACKOFF_S)
-        names = ",".join(replica.replica_id for replica in struck)
-        self._log_line(f"{names} turn away for {rest_s:.2f} s")
-        words = [replica.notices for replica in struck]
-        for notices in words:
-            notices.backoff_s = rest_s
+        selected = self._random.sample(replicas, self._random.randint(1, len(replicas)))
+        backoff_s = self._random.uniform(MIN_BACKOFF_S, MAX_BACKOFF_S)
+        names = ",".join(replica.replica_id for replica in selected)
+        self._log_line(f"{names} turn away for {backoff_s:.2f} s")
+        all_notices = [replica.notices for replica in selected]
+        for notices in all_notices:
+            notices.backoff_s = backoff_s
         await asyncio.sleep(self._random.uniform(MIN_REFUSING_S, MAX_REFUSING_S))
-        for notices in words:
+        for notices in all_notices:
             notices.backoff_s = None
         self._log_line(f"{names} turn nothing away")
 
     async def name_limits(self) -> None:
-        """One or more replicas of a service, at times all, name limits that rise and fall."""
+        """Let some or all replicas of a service announce changing request limits."""
         replicas = self._any_operator().replicas
-        struck = self._random.sample(replicas, self._random.randint(1, len(replicas)))
-        names = ",".join(replica.replica_id for replica in struck)
-        words = [replica.notices for replica in struck]
+        selected = self._random.sample(replicas, self._random.randint(1, len(replicas)))
+        names = ",".join(replica.replica_id for replica in selected)
+        all_notices = [replica.notices for replica in selected]
         for _ in range(self._random.randint(1, MAX_LIMIT_COUNT)):
-            per_s = round(
+            limit_per_s = round(
                 self._random.choice((0.0, 0.5, 1.0, self._random.random() * MAX_LIMIT_PER_S)), 1
             )
-            self._log_line(f"{names} name a limit of {per_s:g} a second")
-            for notices in words:
-                notices.set_limit(per_s)
+            self._log_line(f"{names} name a limit of {limit_per_s:g} a second")
+            for notices in all_notices:
+                notices.set_limit(limit_per_s)
             await asyncio.sleep(self._random.uniform(MIN_LIMIT_DURATION_S, MAX_LIMIT_DURATION_S))
-        for notices in words:
+        for notices in all_notices:
             notices.set_limit(None)
         self._log_line(f"{names} name no limit")
 
     def _any_operator(self) -> RolloutOperator:
-        """Return the operator of either service, drawn by the number of its replicas."""
-        surroundings = self._platform
-        operators = (surroundings.model_rollouts, surroundings.application_rollouts)
+        """Draw the operator of one service, weighted by the number of its replicas."""
+        platform = self._platform
+        operators = (platform.model_rollouts, platform.application_rollouts)
         return self._random.choice([one for one in operators for _ in one.replicas])
 
     async def _crash(self, operator: RolloutOperator) -> tuple[ReplicaServer, StaleEntry]:
@@ -119,7 +118,7 @@
         self._log_line(f"{replica.replica_id} crashes")
         return replica, await replica.crash()
 
-    async def _return(self, replica: ReplicaServer) -> None:
+    async def _restart(self, replica: ReplicaServer) -> None:
         await replica.restart()
         self._log_line(f"{replica.replica_id} has returned on version {replica.weights_version}")
 
--- a/standins/soak/faults/store_faults.py
+++ b/standins/soak/faults/store_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the store and of the routers' ways to it."""
+"""Faults of the store and of the routers' connections to it."""
 
 from __future__ import annotations
 
@@ -11,29 +11,30 @@
 from standins.soak.routers import SoakRouter
 
 MIN_FAULT_S, MAX_FAULT_S = 1.0, 6.0
-#: How old a copy of the store is at most, and how long the store is away before it comes back.
+#: Maximum age of a backup when the store goes down to be restored from it.
 MAX_COPY_AGE_S = 4.0
+#: Downtime of the store during a restore.
 MIN_DOWN_S, MAX_DOWN_S = 0.3, 2.5
 
 
 class StoreFaults:
-    """Strikes the store, one way to it, or the connections open now."""
+    """Faults of the whole store, of one router's link to it, or of the open connections."""
 
     def __init__(self, context: FaultContext, generator: random.Random) -> None:
         self._context = context
         self._random = generator
 
     async def store_down(self) -> None:
-        """The store refuses everybody."""
+        """Let the store refuse every call."""
         with self._context.disruptions.during("store down"):
             self._context.platform.store.down = True
             await asyncio.sleep(self._draw_duration_s())
             self._context.platform.store.down = False
 
     async def comes_back_from_copy(self) -> None:
-        """The store is away and comes back as it was seconds before, at times twice in a row.
+        """Take the store down and restore it from a backup a few seconds old, at times twice.
 
-        Not while a router still runs an earlier build, which may know no eras.
+        Does nothing while a router runs an earlier build, which may not support eras.
         """
         if any(router.runs_earlier_build for router in self._context.routers):
             return
@@ -48,37 +49,37 @@
                 store.down = False
 
     async def link_cut(self) -> None:
-        """One way to the store is slow, silent, or silent one way."""
+        """Delay or stall one router's link to the store, or stall only the answers."""
         router = self._free()
         if router is not None:
             fault = self._random.choice((Fault.DELAY, Fault.STALL, Fault.STALL_ANSWERS))
             await self._inject_link_fault(router, fault, ALL_ROUTERS)
 
     async def turned_away(self) -> None:
-        """The store turns one or two routers away, and serves the others.
+        """Let the store reset or refuse the connections of one or two routers.
 
-        It is the store that does so, and no link: only these routers are excused.
+        It counts as a fault of these routers, not of a link: only they are excused.
         """
         count = self._random.choice((1, 1, 2))
         fault = self._random.choice((Fault.REFUSE, Fault.ANSWER_503))
-        struck = [router for router in (self._free() for _ in range(count)) if router]
-        different = {router.number: router for router in struck}.values()
-        each = [self._inject_link_fault(router, fault, router.number) for router in different]
+        drawn = [router for router in (self._free() for _ in range(count)) if router]
+        distinct = {router.number: router for router in drawn}.values()
+        each = [self._inject_link_fault(router, fault, router.number) for router in distinct]
         await asyncio.gather(*each)
 
     async def resets(self) -> None:
-        """Every connection to the store is reset."""
+        """Reset every connection to the store."""
         for router in self._context.routers:
             self._context.disruptions.record_instant("reset", router.number)
             router.proxy.reset_all()
 
     async def silent_connections(self) -> None:
-        """Connections to the store and the replicas fall silent for good; new ones work."""
+        """Blackhole all open connections to the store and the replicas; new ones work."""
         for router in self._context.routers:
             self._context.disruptions.record_instant("silent connections", router.number)
             router.proxy.blackhole_open_connections()
-        surroundings = self._context.platform
-        for operator in (surroundings.model_rollouts, surroundings.application_rollouts):
+        platform = self._context.platform
+        for operator in (platform.model_rollouts, platform.application_rollouts):
             for replica in operator.replicas:
                 replica.blackhole_open_connections()
 
--- a/standins/soak/lanes.py
+++ b/standins/soak/lanes.py
@@ -1,4 +1,4 @@
-"""Lanes of faults: within one, a fault ends before the next begins; lanes overlap."""
+"""Lanes of faults: the faults of one lane run one after the other, different lanes overlap."""
 
 from __future__ import annotations
 
@@ -13,16 +13,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Lane:
-    """Kinds of faults, one drawn after the other, with pauses up to ``most_pause_s`` between."""
+    """A sequence of faults drawn at random, with pauses of up to ``max_pause_s`` between them."""
 
     name: str
     faults: Sequence[FaultAction]
     max_pause_s: float
-    #: The lane begins up to this many seconds late.
+    #: Upper bound of the random delay before the first fault.
     max_start_delay_s: float = 0.0
 
     async def run(self, generator: random.Random, until_s: float, counts: Counter[str]) -> None:
-        """Inject faults until a moment; the last one is let end."""
+        """Inject faults until ``until_s``; return after the end of the last one.
+
+        ``counts`` counts the faults by name.
+        """
         loop = asyncio.get_running_loop()
         await asyncio.sleep(generator.random() * self.max_start_delay_s)
         while loop.time() < until_s:
--- a/standins/soak/lossy_router.py
+++ b/standins/soak/lossy_router.py
@@ -1,7 +1,7 @@
-"""A router process whose datagrams can be lost and whose steady clock stands still in suspensions.
+"""A router process with simulated datagram loss and simulated machine suspensions.
 
-``python -m standins.soak.lossy_router`` runs the router as the platform starts it. A datagram
-between a machine that is cut off and any other is dropped where it is sent.
+``python -m standins.soak.lossy_router`` runs the router as the platform starts it. A datagram from
+or to an isolated machine is dropped by its sender; the monotonic clock excludes suspensions.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-import winchfork.early_stop  # noqa: F401 - before the slow imports
+import winchfork.early_stop  # noqa: F401 - installs its handler before the slow imports
 from standins.soak.network_partition import PARTITION_FILE_VARIABLE, NetworkPartition
 from standins.soak.suspended_clock import (
     SUSPENDED_FILE_VARIABLE,
@@ -24,16 +24,16 @@
 
 
 class LossyTransport:
-    """Passes datagrams on to a transport, but for those that are lost."""
+    """Forwards datagrams to a transport, except those that a partition drops."""
 
-    def __init__(self, transport: asyncio.DatagramTransport, cut: NetworkPartition) -> None:
+    def __init__(self, transport: asyncio.DatagramTransport, partition: NetworkPartition) -> None:
         self._transport = transport
-        self._cut = cut
-        self._own = transport.get_extra_info("sockname")[0]
+        self._partition = partition
+        self._own_ip = transport.get_extra_info("sockname")[0]
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
-        """Send a datagram, unless a cut lies between."""
-        if not self._cut.separates(self._own, address[0]):
+        """Send a datagram unless the partition separates the two machines."""
+        if not self._partition.separates(self._own_ip, address[0]):
             self._transport.sendto(data, address)
 
     def __getattr__(self, name: str) -> Any:
@@ -41,35 +41,35 @@
 
 
 class LossyProtocol(asyncio.DatagramProtocol):
-    """Gives another protocol the lossy transport."""
+    """Wraps the transport of another protocol in a ``LossyTransport``."""
 
-    def __init__(self, protocol: asyncio.DatagramProtocol, cut: NetworkPartition) -> None:
+    def __init__(self, protocol: asyncio.DatagramProtocol, partition: NetworkPartition) -> None:
         self._protocol = protocol
-        self._cut = cut
+        self._partition = partition
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:  # type: ignore[override]
-        """Wrap the transport."""
-        self._protocol.connection_made(LossyTransport(transport, self._cut))  # type: ignore[arg-type]
+        """Connect the wrapped protocol to the lossy transport."""
+        self._protocol.connection_made(LossyTransport(transport, self._partition))  # type: ignore[arg-type]
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Pass a datagram on."""
+        """Forward a datagram to the wrapped protocol."""
         self._protocol.datagram_received(data, addr)
 
     def error_received(self, exc: Exception) -> None:
-        """Pass an error on."""
+        """Forward an error to the wrapped protocol."""
         self._protocol.error_received(exc)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Pass the end on."""
+        """Forward the loss of the connection to the wrapped protocol."""
         self._protocol.connection_lost(exc)
 
 
-def lose_datagrams(cut: NetworkPartition) -> None:
-    """Have every datagram endpoint of this process lose what a cut loses."""
+def lose_datagrams(partition: NetworkPartition) -> None:
+    """Patch the event loop class so that every datagram endpoint applies the partition."""
     create = BootClockLoop.create_datagram_endpoint
 
     async def create_lossy(self: BootClockLoop, factory: Any, *args: Any, **options: Any) -> Any:
-        return await create(self, lambda: LossyProtocol(factory(), cut), *args, **options)
+        return await create(self, lambda: LossyProtocol(factory(), partition), *args, **options)
 
     BootClockLoop.create_datagram_endpoint = create_lossy  # type: ignore[method-assign,assignment]
 
--- a/standins/soak/network_partition.py
+++ b/standins/soak/network_partition.py
@@ -1,17 +1,17 @@
-"""The machines of a soak that are cut off from the others, as a file tells their routers."""
+"""Simulated network partitions of a soak: a shared file names the isolated machines."""
 
 from __future__ import annotations
 
 from pathlib import Path
 
-#: Names the file in the environment of a router process.
+#: Environment variable of a router process with the file's path.
 PARTITION_FILE_VARIABLE = "SOAK_CUT_MACHINES"
-#: Its name in the folder of a soak.
+#: The file's name in the folder of a soak.
 PARTITION_FILE_NAME = "cut-machines"
 
 
 class NetworkPartition:
-    """The machines that are cut off, by IP number, as a file says."""
+    """The set of isolated machines, by IP address, stored in a file."""
 
     def __init__(self, file: Path) -> None:
         self._file = file
@@ -19,18 +19,18 @@
         self._isolated: frozenset[str] = frozenset()
 
     def write(self, addresses: set[str]) -> None:
-        """Cut these machines off, and no others."""
+        """Isolate exactly these machines; the file is replaced atomically."""
         lines = "\n".join(sorted(addresses))
-        beside = self._file.with_suffix(".new")
-        beside.write_text(lines)
-        beside.replace(self._file)
+        new_file = self._file.with_suffix(".new")
+        new_file.write_text(lines)
+        new_file.replace(self._file)
 
     def separates(self, one: str, other: str) -> bool:
-        """Whether datagrams between two machines are lost."""
-        self._read_again()
+        """Return whether datagrams between two machines are lost."""
+        self._reload_if_changed()
         return one != other and (one in self._isolated or other in self._isolated)
 
-    def _read_again(self) -> None:
+    def _reload_if_changed(self) -> None:
         try:
             changed_ns = self._file.stat().st_mtime_ns
         except FileNotFoundError:
--- a/standins/soak/operators.py
+++ b/standins/soak/operators.py
@@ -1,4 +1,4 @@
-"""The operators of a soak: they name weights every few seconds, and order software now and then."""
+"""The operators of a soak: they publish weights and order software rollouts at random times."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 MIN_WEIGHTS_INTERVAL_S, MAX_WEIGHTS_INTERVAL_S = 2.0, 6.0
 MIN_ROLLOUT_INTERVAL_S, MAX_ROLLOUT_INTERVAL_S = 1.0, 8.0
-#: How long a rollout of software may take.
+#: Duration that a rollout's order allows.
 ROLLOUT_DURATION_S = 8.0
 _POLL_INTERVAL_S = 0.05
 
 
 class Operators:
-    """Act beside the faults until a moment; what came of rollouts is judged at once."""
+    """Act until ``until_s``, concurrently with the faults; each rollout is checked at its end."""
 
     def __init__(
         self, platform: PlatformStandins, seed: str, until_s: float, log_line: Callable[[str], None]
@@ -33,16 +33,16 @@
         self.violations: list[str] = []
 
     async def run(self) -> None:
-        """Act until the time is up and every rollout has ended."""
-        surroundings = self._platform
+        """Act until ``until_s``; return once every rollout has ended."""
+        platform = self._platform
         await asyncio.gather(
             self._publish_weights(),
-            self._order_software("models", surroundings.model_rollouts),
-            self._order_software("editing", surroundings.application_rollouts),
+            self._order_software("models", platform.model_rollouts),
+            self._order_software("editing", platform.application_rollouts),
         )
 
     async def publish_next(self) -> int:
-        """Name the next version, once the store takes it; return it."""
+        """Publish the next version once the store is up; return the version."""
         while self._platform.store.down:
             await asyncio.sleep(_POLL_INTERVAL_S)
         version = self._platform.weights_operator.newest_version + 1
@@ -64,7 +64,7 @@
             self.violations += check_rollout(report, fault)
 
     async def _pause(self, for_s: float) -> bool:
-        """Wait; False when the time is up."""
-        left_s = self._until_s - asyncio.get_running_loop().time()
-        await asyncio.sleep(max(0.0, min(for_s, left_s)))
-        return for_s < left_s
+        """Sleep for ``for_s``, at most until ``until_s``; return whether time is left."""
+        remaining_s = self._until_s - asyncio.get_running_loop().time()
+        await asyncio.sleep(max(0.0, min(for_s, remaining_s)))
+        return for_s < remaining_s
--- a/standins/soak/routers.py
+++ b/standins/soak/routers.py
@@ -1,4 +1,4 @@
-"""A router process under soak, and its way to the store."""
+"""A router process of a soak and the fault proxy between it and the store."""
 
 from __future__ import annotations
 
@@ -18,9 +18,10 @@
 
 
 class SoakRouter:
-    """One router process and its proxy. Faults that would meet at one of them take turns.
+    """One router process and its proxy.
 
-    Its first process runs the build in ``first_tree``, all later ones the build of this file.
+    The first process runs the build in ``first_tree``, if given; all later ones run this build.
+    Locks serialize the faults of the process and those of the link to the store.
     """
 
     def __init__(
@@ -32,7 +33,7 @@
         first_tree: Path | None = None,
     ) -> None:
         self._tree = first_tree or _ROOT
-        #: When a process of this file's build was started first; infinite before.
+        #: When the first process of this build was started; infinite before.
         self.upgraded_at_s = math.inf
         self._platform = platform
         self.number = number
@@ -45,22 +46,22 @@
         self._process: asyncio.subprocess.Process | None = None
         self.address = ""
         self.node_id = node_id(zone)
-        #: Held by the fault that the process, or its way to the store, suffers now.
+        #: Held during a fault of the process, and during a fault of its link to the store.
         self.process_fault = asyncio.Lock()
         self.link_fault = asyncio.Lock()
 
     @property
     def runs_earlier_build(self) -> bool:
-        """Whether no process of this file's build has been started yet."""
+        """Whether no process of this build has been started yet."""
         return math.isinf(self.upgraded_at_s)
 
     @property
     def machine_ip(self) -> str:
-        """The IP number of its machine."""
+        """The IP address of the router's machine."""
         return self.address.partition(":")[0]
 
     async def prepare(self) -> None:
-        """Start the proxy and write the settings, which stay the same over restarts."""
+        """Start the proxy and write the settings file, which restarts reuse."""
         self.proxy = FaultProxy(self._platform.store.address)
         await self.proxy.start()
         text = self._platform.settings_text(self.number, self._zone, self.proxy.address)
@@ -69,7 +70,7 @@
         self.address = lines["ListenAddresses.Front"]
 
     async def start(self) -> None:
-        """Start the process."""
+        """Start the process; the log is appended to."""
         tree, self._tree = self._tree, _ROOT
         if tree == _ROOT:
             self.upgraded_at_s = min(self.upgraded_at_s, asyncio.get_running_loop().time())
@@ -94,7 +95,7 @@
     async def end_process(self, number: signal.Signals) -> int:
         """Send a signal that ends the process; return its exit code.
 
-        A process that has ended by itself is a broken promise: its code is not 0.
+        A process that has already ended returns the code that it ended with.
         """
         assert self._process is not None
         if self._process.returncode is None:
@@ -102,10 +103,10 @@
         return await self._process.wait()
 
     def handles_signal(self, number: signal.Signals) -> bool:
-        """Whether the process has a handler for a signal: without, the signal's default ends it.
+        """Return whether the process has a handler for a signal, or has already ended.
 
-        A process that the system has started runs nothing of the router for some hundredths of a
-        second, while the interpreter starts; a stop that comes then cannot end as planned.
+        While the interpreter starts, the process has no handler and a signal's default action ends
+        it, so that a planned stop is not possible yet.
         """
         assert self._process is not None
         if self._process.returncode is not None:
@@ -115,16 +116,16 @@
         return bool(int(caught.split()[1], 16) >> (number - 1) & 1)
 
     def kill(self) -> None:
-        """End the process if it still runs."""
+        """Kill the process if it still runs."""
         if self._process is not None and self._process.returncode is None:
             self._process.kill()
 
     def pause(self, paused: bool) -> None:
-        """Freeze or thaw the process, if it runs."""
+        """Pause or resume the process with SIGSTOP or SIGCONT, if it still runs."""
         assert self._process is not None
         if self._process.returncode is None:
             self._process.send_signal(signal.SIGSTOP if paused else signal.SIGCONT)
 
     def add_suspension(self, seconds: float) -> None:
-        """Let the process, which is frozen, find that its machine was suspended for so long."""
+        """Add a suspension of the machine, which the paused process sees when it resumes."""
         self._suspended.write(self._suspended.total_s() + seconds)
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak with one seed: surroundings, routers, callers, lanes of faults, verdict."""
+"""One run of the soak with one seed: starts all parts, injects faults and checks guarantees."""
 
 from __future__ import annotations
 
@@ -38,12 +38,13 @@
     replicas_behind,
 )
 
+#: Time within which every router must serve at the start and after the last fault.
 RECOVERY_S = 20.0
-#: As routers take it where their settings say nothing.
+#: The routers' default contact time.
 CONTACT_S = 3.0
-#: Short, so that a run of a minute holds many; a load takes a noticeable part of it.
+#: Short enough for many weight versions within a run of a minute.
 WEIGHTS_TIMING = WeightsTiming(version_bound_s=4.0, load_duration_s=0.4)
-#: Longest pauses between the faults of a lane, in seconds.
+#: Maximum pauses between the faults of each lane.
 PROCESS_PAUSE_S = 2.0
 LEADER_PAUSE_S = 6.0
 REPLICA_PAUSE_S = 3.0
@@ -53,12 +54,12 @@
 NOTICE_PAUSE_S = 5.0
 LIMIT_PAUSE_S = 6.0
 PEER_PAUSE_S = 12.0
-#: Faults of the store and of links stop every bound, so they begin up to this part of a run late.
+#: Maximum start delay, as a share of the run, of lanes whose faults suspend all time bounds.
 STORE_DELAY_SHARE = 0.7
 
 
 class Soak:
-    """One run."""
+    """One run of the soak; ``violations`` holds a line for each guarantee that was broken."""
 
     def __init__(
         self, seed: int, seconds: float, folder: Path, first_tree: Path | None = None
@@ -80,11 +81,11 @@
 
     @property
     def outcomes(self) -> Counter[str]:
-        """Answers and rollouts by what came of them."""
+        """Counts of answers and rollouts by their outcome."""
         return self._callers.outcomes
 
     async def run(self) -> None:
-        """Run callers and faults together, heal, and judge; no process outlives the soak."""
+        """Run callers and faults, wait for the recovery and check; kill all routers at the end."""
         try:
             await self._run()
         finally:
@@ -109,7 +110,7 @@
             self._fatal_callers.run(until_s),
             *(lane.run(self._generator(lane.name), until_s, self.faults) for lane in lanes),
         )
-        # Routers forget at a restart what they took a replica for: none comes after this fault.
+        # A restart would reset what the routers know of the replica: no process fault follows.
         await replicas.crash_with_late_entry(self._platform.model_rollouts)
         self._log_line("healed")
         await self._expect_newest_weights(operators)
@@ -126,17 +127,17 @@
         await self._platform.stop()
 
     def _lanes(self, disruptions: DisruptionLog, replicas: ReplicaFaults) -> list[Lane]:
-        scene = FaultContext(self._routers, self._platform, disruptions)
-        leaders = ProcessFaults(scene, self._generator("leaders struck"), self.violations)
-        processes = ProcessFaults(scene, self._generator("processes struck"), self.violations)
-        connections = StoreFaults(scene, self._generator("connections struck"))
-        store = StoreFaults(scene, self._generator("store struck"))
-        copies = StoreFaults(scene, self._generator("store brought back"))
-        words = ReplicaFaults(self._platform, self._generator("words"), self._log_line)
+        context = FaultContext(self._routers, self._platform, disruptions)
+        leaders = ProcessFaults(context, self._generator("leaders struck"), self.violations)
+        processes = ProcessFaults(context, self._generator("processes struck"), self.violations)
+        connections = StoreFaults(context, self._generator("connections struck"))
+        store = StoreFaults(context, self._generator("store struck"))
+        copies = StoreFaults(context, self._generator("store brought back"))
+        notices = ReplicaFaults(self._platform, self._generator("words"), self._log_line)
         limits = ReplicaFaults(self._platform, self._generator("limits"), self._log_line)
         entries = ForeignEntries(self._platform.store, self._generator("entries"), self._log_line)
         peers = PeerFaults(
-            scene,
+            context,
             self._generator("peers struck"),
             NetworkPartition(self._folder / PARTITION_FILE_NAME),
         )
@@ -165,7 +166,7 @@
             ),
             Lane(
                 "words",
-                [words.leaves_by_its_answers, words.turn_away_with_a_wait],
+                [notices.leaves_by_its_answers, notices.turn_away_with_a_wait],
                 NOTICE_PAUSE_S,
             ),
             Lane("limits", [limits.name_limits], LIMIT_PAUSE_S),
@@ -176,16 +177,17 @@
         ]
 
     def _generator(self, name: str) -> random.Random:
-        """Return a source of draws of its own, so that tasks do not take each other's."""
+        """Return a generator for one task, so that its draws do not depend on other tasks."""
         return random.Random(f"{self._seed}/{name}")
 
     def _log_line(self, what: str) -> None:
-        """Write a line beside the routers' logs, whose times it can be compared with."""
+        """Append a line to ``soak.log``, in the time format of the routers' logs."""
         time = datetime.now(UTC).isoformat(timespec="milliseconds")
         with (self._folder / "soak.log").open("a") as log:
             log.write(f"time={time} {what}\n")
 
     async def _expect_service(self, when: str) -> None:
+        """Wait until every router answers a stream; record a violation after ``RECOVERY_S``."""
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + RECOVERY_S
         generator = self._generator(when)
@@ -197,38 +199,38 @@
                 await asyncio.sleep(0.2)
 
     async def _expect_newest_weights(self, operators: Operators) -> None:
-        """Once healed, one more version must reach every living replica."""
+        """Publish a version after the last fault; check that it reaches all current replicas."""
         await asyncio.sleep(CONTACT_S)
         version = await operators.publish_next()
         within_s = FINAL_BOUND_FACTOR * WEIGHTS_TIMING.version_bound_s
-        in_force = self._platform.model_rollouts
-        for replica in await replicas_behind(lambda: in_force.replicas, version, within_s):
+        rollouts = self._platform.model_rollouts
+        for replica in await replicas_behind(lambda: rollouts.replicas, version, within_s):
             self.violations.append(
                 f"VERSION: {replica.replica_id} holds version {replica.weights_version} "
                 f"{within_s:.0f} s after version {version}, once healed"
             )
 
     def _check_guarantees(self, disruptions: DisruptionLog) -> None:
-        surroundings, callers = self._platform, self._callers
+        platform, callers = self._platform, self._callers
         for stream in callers.streams:
             self.violations += check_stream(stream)
-        self.violations += check_commands(callers.commands, surroundings.all_application_replicas)
-        self.violations += check_orders(surroundings.all_model_replicas)
+        self.violations += check_commands(callers.commands, platform.all_application_replicas)
+        self.violations += check_orders(platform.all_model_replicas)
         replies = [*callers.commands.values(), *(stream.reply for stream in callers.streams)]
         self.violations += check_unrelated_refusals(replies)
-        models = surroundings.all_model_replicas
+        models = platform.all_model_replicas
         self.violations += check_fatal_requests(
             models, self._fatal_callers.senders, disruptions, CONTACT_S
         )
         generations = [
-            begun for item in surroundings.all_model_replicas for begun in item.generations
+            generation for item in platform.all_model_replicas for generation in item.generations
         ]
         bound_s = WEIGHTS_TIMING.version_bound_s
-        named = surroundings.weights_operator.published
+        published = platform.weights_operator.published
         senders = callers.senders | self._fatal_callers.senders
-        spoken = [
+        emitters = [
             (item.replica_id, notices)
-            for item in (*models, *surroundings.all_application_replicas)
+            for item in (*models, *platform.all_application_replicas)
             for notices in item.notices_by_incarnation
         ]
         upgraded_s = {router.number: router.upgraded_at_s for router in self._routers}
@@ -239,7 +241,7 @@
                 router, from_s, until_s
             )
 
-        self.violations += check_notices(spoken, senders, excused)
-        self.violations += check_limits(spoken, senders, excused)
-        late = late_generations(generations, named, senders, disruptions, bound_s)
+        self.violations += check_notices(emitters, senders, excused)
+        self.violations += check_limits(emitters, senders, excused)
+        late = late_generations(generations, published, senders, disruptions, bound_s)
         self.violations += describe_late(late)
--- a/standins/soak/suspended_clock.py
+++ b/standins/soak/suspended_clock.py
@@ -1,8 +1,7 @@
-"""The steady clock of a router process in a soak, which does not count suspensions.
+"""Simulated machine suspensions: a monotonic clock that excludes the suspended time.
 
-A process that is stopped by a signal has its clocks run on. To its machine a suspension is the
-same, but that the steady clock stands still meanwhile: a file tells for how long, and whatever in
-the process ages by that clock is then younger than it is.
+While a process is paused by a signal, its monotonic clock advances; in a real suspension it does
+not. A file holds the total suspended time in seconds, which the patched clocks subtract.
 """
 
 from __future__ import annotations
@@ -10,12 +9,12 @@
 import time
 from pathlib import Path
 
-#: Names the file in the environment of a router process.
+#: Environment variable of a router process with the file's path.
 SUSPENDED_FILE_VARIABLE = "SOAK_SUSPENDED"
 
 
 class SuspendedTime:
-    """The seconds that a machine has been suspended since its router process started."""
+    """The time in seconds that a machine was suspended since its router process started."""
 
     def __init__(self, file: Path) -> None:
         self._file = file
@@ -23,14 +22,14 @@
         self._total_s = 0.0
 
     def write(self, total_s: float) -> None:
-        """Let it be so many."""
-        beside = self._file.with_suffix(".new")
-        beside.write_text(repr(total_s))
-        beside.replace(self._file)
+        """Set the total; the file is replaced atomically."""
+        new_file = self._file.with_suffix(".new")
+        new_file.write_text(repr(total_s))
+        new_file.replace(self._file)
         self._total_s = total_s
 
     def total_s(self) -> float:
-        """Return them, as the file says now."""
+        """Return the total, read again if the file has changed."""
         try:
             changed_ns = self._file.stat().st_mtime_ns
         except FileNotFoundError:
@@ -42,12 +41,12 @@
 
 
 def exclude_suspensions(suspended: SuspendedTime) -> None:
-    """Have the steady clock of this process stand still for as long as the file says."""
+    """Patch this process's monotonic clocks to subtract the suspended time."""
     monotonic, clock_gettime = time.monotonic, time.clock_gettime
 
-    def steady_clock_gettime(clock: int) -> float:
+    def adjusted_clock_gettime(clock: int) -> float:
         seconds = clock_gettime(clock)
         return seconds - suspended.total_s() if clock == time.CLOCK_MONOTONIC else seconds
 
     time.monotonic = lambda: monotonic() - suspended.total_s()
-    time.clock_gettime = steady_clock_gettime
+    time.clock_gettime = adjusted_clock_gettime
--- a/standins/soak/weights_checks.py
+++ b/standins/soak/weights_checks.py
@@ -1,4 +1,4 @@
-"""Promises on weights: nothing begins on replaced ones for long, and everybody gets the newest."""
+"""Checks of weight versions: outdated versions are not used for long, the newest reaches all."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from standins.soak.disruptions import DisruptionLog
 from standins.weights_operator import PublishedWeights
 
-#: Times the bound within which every replica has the newest version once all is healed.
+#: Multiple of the version bound within which all replicas load the last version.
 FINAL_BOUND_FACTOR = 1.5
 _POLL_INTERVAL_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True)
 class LateGeneration:
-    """A generation on weights that had been replaced for too long."""
+    """A generation that started ``late_s`` after its weights were replaced, over the bound."""
 
     generation: Generation
     router: int
@@ -33,33 +33,33 @@
     disruptions: DisruptionLog,
     bound_s: float,
 ) -> list[LateGeneration]:
-    """Return the generations that began more than the bound after a newer version was named.
+    """Return the generations that started over ``bound_s`` after a newer version was published.
 
-    The time counts within one stretch in which the store and all links were sound; the request
-    must have been sent in that stretch too, and by a router that was not disturbed itself.
+    Time counts only since the last disruption of the store or a link. A request counts if it
+    reached its replica after that disruption, sent by a router that was not disrupted itself.
     """
     late = []
     for generation in generations:
         newer = [item for item in published if item.version > generation.version]
-        stretch_s = disruptions.undisturbed_since_s(generation.started_at_s)
+        undisturbed_s = disruptions.undisturbed_since_s(generation.started_at_s)
         router = senders[generation.request_id].router
-        if not newer or stretch_s is None or generation.arrived_at_s < stretch_s:
+        if not newer or undisturbed_s is None or generation.arrived_at_s < undisturbed_s:
             continue
         if disruptions.excuses(router, generation.arrived_at_s):
             continue
         successor = min(newer, key=lambda item: item.acknowledged_s)
-        late_s = generation.started_at_s - max(successor.acknowledged_s, stretch_s)
+        late_s = generation.started_at_s - max(successor.acknowledged_s, undisturbed_s)
         if late_s > bound_s:
             late.append(LateGeneration(generation, router, successor.version, late_s))
     return late
 
 
 def describe_late(late: Iterable[LateGeneration]) -> list[str]:
-    """Return a line for each router, replica and version, with the first request for the trace."""
+    """Return a line for each router, replica and version, with the id of the first request."""
     groups: dict[tuple[int, str, int], list[LateGeneration]] = {}
     for item in late:
-        begun = item.generation
-        groups.setdefault((item.router, begun.replica_id, begun.version), []).append(item)
+        generation = item.generation
+        groups.setdefault((item.router, generation.replica_id, generation.version), []).append(item)
     lines = []
     for (router, replica_id, version), items in groups.items():
         first = min(items, key=lambda item: item.generation.started_at_s)
@@ -74,7 +74,7 @@
 async def replicas_behind(
     replicas: Callable[[], Sequence[ReplicaServer]], version: int, within_s: float
 ) -> list[ReplicaServer]:
-    """Wait until every living replica has a version; return those that do not get it in time."""
+    """Wait until all replicas have a version; return those that lack it after ``within_s``."""
     loop = asyncio.get_running_loop()
     until_s = loop.time() + within_s
     while True:
