--- a/spec/__init__.py
+++ b/spec/__init__.py
@@ -1,1 +1,1 @@
-"""Model-checked specification of the claim protocol."""
+"""Model-checked specifications of the claim protocol and of other distributed parts."""
--- a/spec/check.py
+++ b/spec/check.py
@@ -1,7 +1,7 @@
-"""Checks the specification and its mutants: `python -m spec.check [--deep]`.
+"""Check the specifications and their mutants: ``python -m spec.check [--deep]``.
 
-Exit code 0 only if every property holds over the whole reachable space, every situation that must
-be reachable is, and every mutant is found.
+The exit code is 0 only if every invariant holds in all reachable states, every required situation
+is reachable (and every excluded one is not), and every mutant violates an invariant.
 """
 
 from __future__ import annotations
@@ -26,13 +26,14 @@
 )
 
 _MAX_STATES = 6_000_000
-#: A refutation is sound in a partial search; the search goes breadth first, so it is the shortest.
+#: Mutants need no exhaustive search: a counterexample in a part of the states is valid, and a
+#: breadth-first search finds the shortest first.
 _MUTANT_STATES = 80_000
 
 
 @dataclasses.dataclass(frozen=True)
 class CheckResult:
-    """One check: what was explored and whether it came out as it must."""
+    """The result of one check; ``states`` is the number of states explored."""
 
     name: str
     states: int
@@ -43,7 +44,7 @@
 
 
 def check_holds(name: str, protocol: Protocol) -> list[CheckResult]:
-    """Check that every invariant holds over the whole space."""
+    """Check that every invariant of a protocol holds in all reachable states."""
     started = time.perf_counter()
     report = check_safety(protocol, max_states=_MAX_STATES)
     seconds = time.perf_counter() - started
@@ -61,7 +62,7 @@
 
 
 def check_violated(name: str, protocol: Protocol) -> CheckResult:
-    """Check that a mutant violates some invariant."""
+    """Check that a mutant violates an invariant; the detail is the shortest counterexample."""
     started = time.perf_counter()
     report = check_safety(protocol, max_states=_MUTANT_STATES)
     violated = [
@@ -85,18 +86,18 @@
     *,
     expect_reachable: bool = True,
 ) -> list[CheckResult]:
-    """Check that situations can (or cannot) come about, in one sweep."""
-    never = {name: _negate(situation) for name, situation in situations.items()}
+    """Check in one search that situations are reachable, or that they are not."""
+    negated = {name: _negate(situation) for name, situation in situations.items()}
     started = time.perf_counter()
-    report = check_safety(dataclasses.replace(protocol, invariants=never), max_states=_MAX_STATES)
+    report = check_safety(dataclasses.replace(protocol, invariants=negated), max_states=_MAX_STATES)
     seconds = time.perf_counter() - started
     results: list[CheckResult] = []
     for name, result in report["properties"].items():
         reached = result["holds"] is False
         detail = f"reached: {_labels(result)}" if reached else "unreachable"
         passed = reached if expect_reachable else result["holds"] is True
-        states, whole = report["reachable_states"], bool(report["exhaustive"])
-        results.append(CheckResult(prefix + name, states, whole, passed, detail, seconds))
+        states, exhaustive = report["reachable_states"], bool(report["exhaustive"])
+        results.append(CheckResult(prefix + name, states, exhaustive, passed, detail, seconds))
     return results
 
 
@@ -111,12 +112,12 @@
 
 
 def run_checks(*, deep: bool) -> list[CheckResult]:
-    """Run every check; ``deep`` raises the bound on restarts."""
+    """Run every check; ``deep`` raises the bounds on time and on restarts."""
     results: list[CheckResult] = []
     horizon = 12 if deep else 6
     results += check_holds("clock", clock_spec.clock_protocol(clock_spec.ClockRules(horizon)))
-    sleeping = suspension_spec.suspension_protocol(suspension_spec.SuspensionRules(horizon))
-    results += check_holds("suspension", sleeping)
+    suspension = suspension_spec.suspension_protocol(suspension_spec.SuspensionRules(horizon))
+    results += check_holds("suspension", suspension)
     claim = claim_spec.claim_protocol(claim_spec.ClaimRules())
     results += check_holds("claim", claim)
     results += check_reachable("claim can: ", claim, claim_spec.WITNESSES)
@@ -129,8 +130,8 @@
     results += _availability()
     for name, clock_rules in clock_spec.MUTANTS.items():
         results.append(check_violated(name, clock_spec.clock_protocol(clock_rules)))
-    for name, sleep_rules in suspension_spec.MUTANTS.items():
-        results.append(check_violated(name, suspension_spec.suspension_protocol(sleep_rules)))
+    for name, suspension_rules in suspension_spec.MUTANTS.items():
+        results.append(check_violated(name, suspension_spec.suspension_protocol(suspension_rules)))
     for name, relay_mutant in relay_spec.MUTANTS.items():
         results.append(check_violated(name, relay_spec.relay_protocol(relay_mutant)))
     for name, quota_mutant in quota_spec.MUTANTS.items():
@@ -145,7 +146,7 @@
 
 
 def _availability() -> list[CheckResult]:
-    """Which restarts leave a majority that can vote, with the store up and down."""
+    """Check after which restarts a majority can still vote, with the store up and down."""
     results: list[CheckResult] = []
     for restarted in (1, 2, 3):
         for store_up in (True, False):
@@ -167,9 +168,9 @@
 
 
 def main() -> int:
-    """Print every check and return the exit code."""
-    parser = argparse.ArgumentParser(description="Check the claim protocol's specification.")
-    parser.add_argument("--deep", action="store_true", help="allow more restarts")
+    """Run all checks, print their results and return the exit code."""
+    parser = argparse.ArgumentParser(description="Check the specifications and their mutants.")
+    parser.add_argument("--deep", action="store_true", help="allow more restarts and a longer time")
     results = run_checks(deep=parser.parse_args().deep)
     for result in results:
         verdict = "ok  " if result.passed else "FAIL"
--- a/spec/claim_spec.py
+++ b/spec/claim_spec.py
@@ -1,12 +1,12 @@
 """Specification of the claim protocol for one key in one epoch.
 
-Two attempts: A, the caller's first send, and B, its retry through another daemon after it stopped
-listening to A. Three voters. Messages are modelled by what was sent and never taken back, so that
-loss (never acted on), delay, doubling and reordering are all included: a vote request may be
+The model has two attempts and three voters. A is the caller's first send; B is its retry through
+another daemon, after which the caller ignores the result of A. A message that was sent stays
+available for ever, which covers loss, delay, duplication and reordering: a vote request may be
 processed at any time after its attempt began, also after the attempt was given up.
 
-A restarted voter has no authority for this key (``clock_spec``), so it only abstains. Voters are
-interchangeable; states are kept sorted, which folds their permutations.
+A restarted voter has no authority for this key (``clock_spec``) and only abstains. Voters are
+interchangeable; they are sorted within a state, which merges permutations.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Phase(enum.IntEnum):
-    """An attempt's life; the names of ``core.claims.ClaimPhase`` where they overlap."""
+    """The phases of an attempt, named as in ``core.claims.ClaimPhase`` where both have them."""
 
     IDLE = 0
     GATHERING = 1
@@ -35,22 +35,22 @@
     #: The ingress crashed after dispatch: the engine may still execute.
     CRASHED_DISPATCHED = 7
     ABANDONED = 8
-    #: The dispatch provably reached no engine.
+    #: The dispatch is known to have reached no engine.
     UNSENT = 9
     REPLAYED = 10
 
 
 class Reply(enum.IntEnum):
-    """A voter's grant to an attempt, on its way."""
+    """The state of a voter's grant message to an attempt."""
 
     NONE = 0
     SENT = 1
     RECEIVED = 2
 
 
-#: (vote, authority, keeps outcome, released A, released B, reply to A, reply to B)
+#: (vote, authority, has outcome, released A, released B, reply to A, reply to B)
 Voter = tuple[int, int, int, int, int, int, int]
-#: (phase A, phase B, ran A, ran B, told "not run", voters)
+#: (phase A, phase B, runs of A, runs of B, "not run" reported, voters)
 State = tuple[int, int, int, int, int, tuple[Voter, ...]]
 Steps = list[tuple[str, State]]
 FRESH_VOTER: Voter = (NO_VOTE, 1, 0, 0, 0, 0, 0)
@@ -58,11 +58,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class ClaimRules:
-    """The rules under check; the mutants change one each."""
+    """The protocol's rules; each mutant violates one."""
 
     voters: int = 3
     majority: int = 2
-    #: Whether ingresses crash and voters restart; most mutants fail without.
+    #: Whether ingresses crash and voters restart; most mutants are found without.
     failures: bool = True
     voter_remembers_restart: bool = True
     voter_keeps_first_vote: bool = True
@@ -73,7 +73,7 @@
 
 
 class _Model:
-    """The transition relation."""
+    """The transition relation of the claim protocol."""
 
     def __init__(self, rules: ClaimRules) -> None:
         self._rules = rules
@@ -121,7 +121,7 @@
 
     def _give_up(self, state: State, attempt: int) -> State:
         given_up = _with_phase(state, attempt, Phase.GIVEN_UP)
-        # The first send is declared as such by the caller; a retry proves nothing by giving up.
+        # Only a first send proves by giving up that nothing ran: before a retry, A may have run.
         if attempt == A or not self._rules.retry_needs_proof:
             return _report_not_run(given_up, attempt)
         return given_up
@@ -134,8 +134,8 @@
         steps: Steps = []
         vote, authority, outcome = voter[:3]
         if self._rules.failures and voter != (NO_VOTE, 0, 0, 0, 0, voter[5], voter[6]):
-            kept = 0 if self._rules.voter_remembers_restart else authority
-            restarted: Voter = (NO_VOTE, kept, 0, 0, 0, voter[5], voter[6])
+            authority_after = 0 if self._rules.voter_remembers_restart else authority
+            restarted: Voter = (NO_VOTE, authority_after, 0, 0, 0, voter[5], voter[6])
             steps.append((f"restart(v{number})", _with_voter(state, number, restarted)))
         for attempt in (A, B):
             name = "AB"[attempt]
@@ -152,12 +152,14 @@
                     (f"replay(v{number},{name})", _with_phase(state, attempt, Phase.REPLAYED))
                 )
             if voter[5 + attempt] == Reply.SENT:
-                heard = _with_voter(state, number, _with_value(voter, 5 + attempt, Reply.RECEIVED))
+                received = _with_voter(
+                    state, number, _with_value(voter, 5 + attempt, Reply.RECEIVED)
+                )
                 won = (
                     phase is Phase.GATHERING
-                    and _received_grants(heard, attempt) >= self._rules.majority
+                    and _received_grants(received, attempt) >= self._rules.majority
                 )
-                after = _with_phase(heard, attempt, Phase.WON) if won else heard
+                after = _with_phase(received, attempt, Phase.WON) if won else received
                 steps.append((f"hear(v{number},{name})", after))
             if phase is Phase.GIVEN_UP and not voter[3 + attempt]:
                 released = _with_value(voter, 3 + attempt, 1)
@@ -165,9 +167,9 @@
                     released = _with_value(_with_value(released, 0, NO_VOTE), 2, 0)
                 steps.append((f"release(v{number},{name})", _with_voter(state, number, released)))
             if phase is Phase.ANSWERED and vote == attempt and not outcome:
-                kept_voter = _with_value(voter, 2, 1)
+                recorded = _with_value(voter, 2, 1)
                 steps.append(
-                    (f"record_outcome(v{number},{name})", _with_voter(state, number, kept_voter))
+                    (f"record_outcome(v{number},{name})", _with_voter(state, number, recorded))
                 )
         return steps
 
@@ -195,10 +197,10 @@
 
 
 def _report_not_run(state: State, attempt: int) -> State:
-    """The caller hears "not run" only from the attempt it listens to."""
-    listening = attempt == B or state[B] == Phase.IDLE
-    told = 1 if listening else state[4]
-    return (state[0], state[1], state[2], state[3], told, state[5])
+    """Report "not run" to the caller, which ignores attempt A once B has begun."""
+    is_awaited = attempt == B or state[B] == Phase.IDLE
+    reported = 1 if is_awaited else state[4]
+    return (state[0], state[1], state[2], state[3], reported, state[5])
 
 
 def _with_voter(state: State, number: int, voter: Voter) -> State:
@@ -212,7 +214,7 @@
 
 
 def claim_protocol(rules: ClaimRules) -> Protocol:
-    """Build the protocol for minicheck."""
+    """Return the protocol for minicheck."""
     return Protocol(
         name="claim",
         candidate=False,
@@ -231,7 +233,7 @@
     )
 
 
-#: Situations that must be reachable: a protocol that never runs anything would be safe too.
+#: Situations that must be reachable, since a protocol that runs nothing satisfies the invariants.
 WITNESSES = {
     "first_send_runs": lambda state: state["ran_a"] == 1,
     "retry_runs_after_first_gave_up": lambda state: (
--- a/spec/clock_spec.py
+++ b/spec/clock_spec.py
@@ -1,10 +1,11 @@
-"""Specification of a voter's authority: votes lost in a restart are never contradicted.
+"""Specification of a voter's authority: a vote that a restart lost is never contradicted.
 
-One voter machine and one key. The machine restarts, or is replaced, any number of times; each
-incarnation's clock may differ from the one before by up to SKEW. The same arithmetic covers a panel
-change: the new voters' start is the activation time, read from the changer's clock.
+The model has one voter and one key. The voter restarts, or is replaced, any number of times, and
+the clock of each incarnation is ahead of true time by up to ``skew`` ticks. A panel change uses the
+same arithmetic: the start of the new voters is the activation time on the changer's clock.
 
-State: (time, stamp, clock offset, start, voted now, voted before, contradicted).
+State: (time, the key's stamp, clock offset, start, voted in this incarnation, voted in an earlier
+one, contradicted).
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ClockRules:
-    """The rules under check; the mutants change one each. Margins in ticks."""
+    """The protocol's rules; each mutant violates one. Times are in ticks."""
 
     horizon: int = 6
     skew: int = 1
@@ -30,13 +31,13 @@
 
 
 def has_authority(rules: ClockRules, stamp: int, clock: int, start: int) -> bool:
-    """Mirror of ``ClaimVoter._has_authority``."""
+    """Return whether the voter may vote; mirrors ``ClaimVoter._has_authority``."""
     from_future = rules.checks_future and stamp > clock + rules.future_margin
     return not from_future and stamp > start + rules.restart_margin
 
 
 def clock_protocol(rules: ClockRules) -> Protocol:
-    """Build the protocol for minicheck."""
+    """Return the protocol for minicheck."""
 
     def transitions(state: State) -> Steps:
         time, stamp, offset, start, voted, before, bad = state
@@ -52,12 +53,12 @@
             contradicts = 1 if before else bad
             steps.append(("vote", (time, stamp, offset, start, 1, before, contradicts)))
         for new_offset in range(rules.skew + 1):
-            begun = time + new_offset
+            new_start = time + new_offset
             earlier = max(before, voted)
             steps.append(
                 (
                     f"restart(offset={new_offset})",
-                    (time, stamp, new_offset, begun, 0, earlier, bad),
+                    (time, stamp, new_offset, new_start, 0, earlier, bad),
                 )
             )
         return steps
--- a/spec/panel_spec.py
+++ b/spec/panel_spec.py
@@ -1,12 +1,13 @@
-"""Specification of a panel change: two epochs never both decide one key.
+"""Specification of a panel change: two epochs never both decide the same key.
 
-The old epoch has three voters that restart and forget. The new epoch decides only keys stamped
-after its activation, and no old voter can have granted such a key before that moment
-(``clock_spec``). So what is checked is that after the activation no majority of the old voters ever
-grants one: any old voter that may vote would have authority, and only sealing stops it.
+The old epoch has three voters, which lose their state in a restart. The new epoch decides only keys
+stamped after its activation, and no old voter can have granted such a key before (``clock_spec``).
+It therefore suffices to check that no majority of old voters grants a key after the activation. The
+model gives old voters authority for such a key, so that only a seal prevents their votes.
 
-Voter: incarnation, certified, sealed, granted (ever), read pending, the incarnations it has seen of
-the others, the vouchers of its present incarnation, and vouch replies on their way.
+A voter's state: its incarnation; whether it is certified, sealed, has ever granted a vote, and has
+a store read pending; the incarnations that it has seen of the others; the vouchers of its current
+incarnation; the vouch replies in flight.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 MAJORITY = 2
 VOUCHES_NEEDED = 2
 
-#: (incarnation, certified, sealed, granted, read pending, seen, vouchers, vouches on their way)
+#: (incarnation, certified, sealed, granted, read pending, seen, vouchers, vouches in flight)
 Voter = tuple[int, int, int, int, int, tuple[int, ...], int, tuple[int, ...]]
 #: (incarnation, certified, seen)
 Seal = tuple[int, int, tuple[int, ...]]
@@ -34,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PanelRules:
-    """The rules under check; the mutants change one each."""
+    """The protocol's rules; each mutant violates one."""
 
     max_restarts: int = 2
     restart_needs_certificate: bool = True
@@ -70,22 +71,22 @@
 
     def _voter_steps(self, state: State, number: int, can_seal: bool) -> Steps:
         voter = state[0][number]
-        incarnation, certified, sealed, granted, reading, seen, vouchers, coming = voter
+        incarnation, certified, sealed, granted, read_pending, seen, vouchers, in_flight = voter
         steps: Steps = []
         if state[4] < self._rules.max_restarts:
-            kept = 0 if self._rules.restart_needs_certificate else 1
-            fresh: Voter = (incarnation + 1, kept, 0, granted, 0, _NO_SEEN, 0, _NO_VOUCH)
+            certified_after = 0 if self._rules.restart_needs_certificate else 1
+            fresh: Voter = (incarnation + 1, certified_after, 0, granted, 0, _NO_SEEN, 0, _NO_VOUCH)
             restarted = _with_field(_with_voter(state, number, fresh), 4, state[4] + 1)
             steps.append((f"restart(v{number})", restarted))
         stopped = sealed and self._rules.sealed_voter_stops
         if state[3] and certified and not stopped:
             granting: Voter = (
-                incarnation, certified, sealed, 1, reading, seen, vouchers, coming,
+                incarnation, certified, sealed, 1, read_pending, seen, vouchers, in_flight,
             )  # fmt: skip
             steps.append((f"vote(v{number})", _with_voter(state, number, granting)))
         if can_seal and not state[3]:
             sealing: Voter = (
-                incarnation, certified, 1, granted, reading, seen, vouchers, coming,
+                incarnation, certified, 1, granted, read_pending, seen, vouchers, in_flight,
             )  # fmt: skip
             reported = seen if self._rules.seal_reports_seen else _NO_SEEN
             replies = list(state[2])
@@ -94,13 +95,13 @@
             steps.append((f"seal(v{number})", _with_field(sealed_state, 2, tuple(replies))))
             steps.append((f"seal_reply_lost(v{number})", sealed_state))
         if not certified and not sealed:
-            if state[5] and not state[1] and not reading:
+            if state[5] and not state[1] and not read_pending:
                 asking: Voter = (
-                    incarnation, certified, sealed, granted, 1, seen, vouchers, coming,
+                    incarnation, certified, sealed, granted, 1, seen, vouchers, in_flight,
                 )  # fmt: skip
                 steps.append((f"read_store(v{number})", _with_voter(state, number, asking)))
-            if reading:
-                read: Voter = (incarnation, 1, sealed, granted, 0, seen, vouchers, coming)
+            if read_pending:
+                read: Voter = (incarnation, 1, sealed, granted, 0, seen, vouchers, in_flight)
                 steps.append((f"hear_store(v{number})", _with_voter(state, number, read)))
         return steps
 
@@ -112,8 +113,8 @@
                 return steps
             seen = _with_value(other[5], voucher_index(subject), asking[0])
             vouching: Voter = (*other[:5], seen, other[6], other[7])
-            coming = _with_value(asking[7], voucher, other[0])
-            waiting: Voter = (*asking[:7], coming)
+            in_flight = _with_value(asking[7], voucher, other[0])
+            waiting: Voter = (*asking[:7], in_flight)
             after = _with_voter(_with_voter(state, voucher, vouching), subject, waiting)
             steps.append((f"vouch(v{voucher} for v{subject})", after))
         if asking[7][voucher] >= 0 and not asking[6] & (1 << voucher):
@@ -121,16 +122,16 @@
             seen = _with_value(asking[5], voucher, max(asking[5][voucher], asking[7][voucher]))
             vouchers = asking[6] | (1 << voucher)
             certified = int(asking[1] or (vouchers.bit_count() >= needed and not asking[2]))
-            heard: Voter = (
+            received: Voter = (
                 asking[0], certified, asking[2], asking[3], asking[4], seen, vouchers, asking[7],
             )  # fmt: skip
             steps.append(
-                (f"hear_vouch(v{subject} of v{voucher})", _with_voter(state, subject, heard))
+                (f"hear_vouch(v{subject} of v{voucher})", _with_voter(state, subject, received))
             )
         return steps
 
     def _is_sealed(self, state: State) -> bool:
-        """Mirror of ``core.claims.epoch_is_sealed``."""
+        """Return whether the old epoch is sealed; mirrors ``core.claims.epoch_is_sealed``."""
         if not self._rules.seals_before_activation:
             return True
         replies = state[2]
@@ -140,14 +141,14 @@
             if reply is not None
             and all(reply[0] >= other[2][number] for other in replies if other is not None)
         ]
-        weighty = [
+        majority_replies = [
             reply for reply in counted if reply[1] or not self._rules.uncertified_seal_counts_less
         ]
-        return len(weighty) >= MAJORITY or len(counted) == VOTERS
+        return len(majority_replies) >= MAJORITY or len(counted) == VOTERS
 
 
 def voucher_index(subject: int) -> int:
-    """Return the place of a voter in the others' ``seen``."""
+    """Return the index of a voter in the others' ``seen``."""
     return subject
 
 
@@ -168,7 +169,7 @@
 
 
 def panel_protocol(rules: PanelRules) -> Protocol:
-    """Build the protocol for minicheck."""
+    """Return the protocol for minicheck."""
     restarted: Voter = (1, 0, 0, 0, 0, _NO_SEEN, 0, _NO_VOUCH)
     voters = tuple(
         restarted if number < rules.starts_restarted else FIRST_VOTER for number in range(VOTERS)
@@ -195,7 +196,7 @@
 
 
 def voters_able_to_vote(state: dict[str, object]) -> int:
-    """Return how many voters of the old epoch can vote now."""
+    """Return how many voters of the old epoch are certified and not sealed."""
     voters = state["voters"]
     assert isinstance(voters, tuple)
     return sum(1 for voter in voters if voter[1] and not voter[2])
--- a/spec/quota_spec.py
+++ b/spec/quota_spec.py
@@ -1,15 +1,15 @@
-"""Specification of how use of a quota is told: totals since a start, over datagrams.
+"""Specification of quota usage reports: totals per start of a daemon, sent as datagrams.
 
-One daemon uses units, is killed and starts anew, and tells its totals; datagrams are lost, late by
-any number of lives, and come twice. Another daemon counts what is news, for each life by itself.
-Mirrors ``UseTotals`` and ``UseReader`` of ``core/quota_book.py``, which remembers as many lives as
-are modelled here and one more.
+The sender uses units, is killed and restarted, and reports its total since its last start.
+Datagrams are lost, duplicated, and delayed over any number of restarts. The receiver counts the
+growth of the totals, separately for each start. Mirrors ``UsageTotals`` and ``UsageReceiver`` of
+``core/quota_ledger.py``, which remembers at least as many starts as are modelled here.
 
-Claims: it never counts more than was used, and it has counted the newest total of each life that it
-has read.
+Checked: the receiver never counts more units than were used, and it has counted the highest total
+that it has received of each start.
 
-State: the sender's life and its use in it, all use; the receiver's known total of each life and
-what it has counted in all; two messages under way.
+State: the sender's current start (``life``), its usage since then and its whole usage; the
+receiver's known total of each start and its whole count; two messages in flight.
 """
 
 from __future__ import annotations
@@ -41,20 +41,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class QuotaRules:
-    """The rules under check; the mutants change one each."""
+    """The protocol's rules; each mutant violates one."""
 
-    #: Totals are told, not what was used since the last message.
+    #: Messages carry totals, not the usage since the last message.
     sends_totals: bool = True
-    #: A total below the one that is known is late, and brings nothing.
+    #: A total below the known one comes from a delayed message and is ignored.
     ignores_lower_totals: bool = True
-    #: What is known of other lives stays when a message of another life is read.
+    #: A message of one start leaves the known totals of other starts unchanged.
     remembers_starts: bool = True
-    #: A new life is counted from nothing, not from the total of the life before.
+    #: A new start is counted from zero, not from the total of the previous start.
     counts_new_starts_from_zero: bool = True
 
 
 def quota_protocol(rules: QuotaRules) -> Protocol:
-    """Build the protocol for minicheck."""
+    """Return the protocol for minicheck."""
 
     def transitions(state: State) -> Steps:
         now = dict(zip(FIELDS, state, strict=True))
@@ -78,11 +78,11 @@
 
 
 def _has_counted_what_it_knows(state: dict[str, int]) -> bool:
-    return state["counted"] == sum(state[_known_key(life)] for life in range(MAX_STARTS))
+    return state["counted"] == sum(state[_known_key(start)] for start in range(MAX_STARTS))
 
 
-def _known_key(life: int) -> str:
-    return f"known_{life}"
+def _known_key(start: int) -> str:
+    return f"known_{start}"
 
 
 def _with(now: dict[str, int], **changes: int) -> State:
@@ -99,8 +99,8 @@
         steps.append(("restart", _with(now, life=now["life"] + 1, used=0)))
     for slot in _SLOTS:
         if now[f"{slot}_life"] == NONE:
-            told = {f"{slot}_life": now["life"], f"{slot}_used": now["used"]}
-            steps.append((f"tell({now['life']}:{now['used']})", _with(now, **told)))
+            sent = {f"{slot}_life": now["life"], f"{slot}_used": now["used"]}
+            steps.append((f"tell({now['life']}:{now['used']})", _with(now, **sent)))
             break
     return steps
 
@@ -108,29 +108,29 @@
 def _message_steps(rules: QuotaRules, now: dict[str, int]) -> Steps:
     steps: Steps = []
     for slot in _SLOTS:
-        life, used = now[f"{slot}_life"], now[f"{slot}_used"]
-        if life == NONE:
+        start, used = now[f"{slot}_life"], now[f"{slot}_used"]
+        if start == NONE:
             continue
-        gone = {f"{slot}_life": NONE, f"{slot}_used": NONE}
-        read = _apply_message(rules, now, life, used)
-        steps.append((f"lose({life}:{used})", _with(now, **gone)))
-        steps.append((f"read({life}:{used})", _with(now, **gone, **read)))
-        steps.append((f"read_and_come_again({life}:{used})", _with(now, **read)))
+        cleared = {f"{slot}_life": NONE, f"{slot}_used": NONE}
+        received = _apply_message(rules, now, start, used)
+        steps.append((f"lose({start}:{used})", _with(now, **cleared)))
+        steps.append((f"read({start}:{used})", _with(now, **cleared, **received)))
+        steps.append((f"read_and_come_again({start}:{used})", _with(now, **received)))
     return steps
 
 
-def _apply_message(rules: QuotaRules, now: dict[str, int], life: int, used: int) -> dict[str, int]:
-    """Mirror of ``UseReader.read``."""
+def _apply_message(rules: QuotaRules, now: dict[str, int], start: int, used: int) -> dict[str, int]:
+    """Return the receiver's changes; mirrors ``UsageReceiver.receive``."""
     known = {_known_key(each): now[_known_key(each)] for each in range(MAX_STARTS)}
     if not rules.remembers_starts:
-        known = {key: total if key == _known_key(life) else 0 for key, total in known.items()}
-    start = known[_known_key(life)]
-    if not start and life and not rules.counts_new_starts_from_zero:
-        start = known[_known_key(life - 1)]
-    newly_used = used - start if rules.sends_totals else used
+        known = {key: total if key == _known_key(start) else 0 for key, total in known.items()}
+    baseline = known[_known_key(start)]
+    if not baseline and start and not rules.counts_new_starts_from_zero:
+        baseline = known[_known_key(start - 1)]
+    newly_used = used - baseline if rules.sends_totals else used
     if rules.ignores_lower_totals:
         newly_used = max(0, newly_used)
-    known[_known_key(life)] = max(known[_known_key(life)], used)
+    known[_known_key(start)] = max(known[_known_key(start)], used)
     return {**known, "counted": now["counted"] + newly_used}
 
 
--- a/spec/relay_spec.py
+++ b/spec/relay_spec.py
@@ -1,14 +1,15 @@
-"""Specification of entries passed on between daemons, and of proofs that they are current.
+"""Specification of relayed store entries and of the proofs that they are current.
 
-A store that is written to, a hub that reads it, and a follower that hears of it through the hub
-alone. Updates and answers are lost or late. Each read of the hub is atomic. One clock serves all:
-ages are counted on each daemon's own clock, which only has to run at the same rate.
+The model has a store with changes, a hub that reads it, and a follower that receives the changes
+from the hub only. Updates and answers are lost or delayed. Each read of the hub is atomic. One
+clock models all daemons: ages are measured on each daemon's own clock, and only the rates of these
+clocks have to agree.
 
-Claims: a follower that says "I know everything up to revision R" does, and one that says "I was
-current at time P" knows every change written by then.
+Checked: a follower that claims to know everything up to revision R knows it, and one that claims to
+have been current at time P knows every change written before P.
 
-State: time, store revision, times of its changes, hub's revision and proof, follower's revision,
-entries and proof, question under way, answer under way, two updates under way.
+State: time, store revision, times of the changes, revision and proof of the hub, revision, entries
+and proof of the follower, a question, an answer and two updates in flight.
 """
 
 from __future__ import annotations
@@ -17,8 +18,9 @@
 
 from minicheck import Protocol
 
-#: Changes to the store, and the value of a time or revision that is not there.
+#: Number of changes to the store.
 CHANGES = 2
+#: An unset time or revision.
 NONE = -1
 LONG_AGO = -9
 State = tuple[int, ...]
@@ -46,19 +48,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class RelayRules:
-    """The rules under check; the mutants change one each. ``horizon`` in ticks."""
+    """The protocol's rules; each mutant violates one. ``horizon`` is in ticks."""
 
     horizon: int = 4
-    #: A proof is dated from the question, not from when its answer is read.
+    #: A proof is dated from the question, not from the receipt of its answer.
     dated_from_question: bool = True
-    #: A proof counts only where everything up to the prover's revision is known.
+    #: A proof counts only for a follower that knows everything up to the prover's revision.
     checks_revision: bool = True
-    #: An update whose base is not known installs its entries and proves nothing more.
+    #: An update whose base is unknown installs its entries, but does not raise the revision.
     checks_base: bool = True
 
 
 def relay_protocol(rules: RelayRules) -> Protocol:
-    """Build the protocol for minicheck."""
+    """Return the protocol for minicheck."""
 
     def transitions(state: State) -> Steps:
         now = dict(zip(FIELDS, state, strict=True))
@@ -87,7 +89,7 @@
 
 
 def _current_when_it_says(state: dict[str, int]) -> bool:
-    """Every change written before the moment of the proof is known."""
+    """Return whether every change written before the time of the proof is known."""
     for number in range(1, state["revision"] + 1):
         written = state[f"changed_{number}"]
         if written < state["proof"] and not state["entries"] & (1 << number):
@@ -134,13 +136,13 @@
 
 
 def _read_answer(rules: RelayRules, now: dict[str, int]) -> State:
-    """Mirror of ``PeerGroup._take_proof`` and ``DocumentRelay.note_revision``."""
-    done = {"answer_revision": NONE, "answer_age": NONE, "answer_asked": NONE}
+    """Mirror ``PeerGroup._handle_proof`` and ``DocumentRelay.handle_position``."""
+    cleared = {"answer_revision": NONE, "answer_age": NONE, "answer_asked": NONE}
     if rules.checks_revision and now["answer_revision"] > now["known_revision"]:
         pulled = _enqueue_update(now, now["known_revision"], now["hub_revision"])
-        return _with(now, **done, **(pulled or {}))
+        return _with(now, **cleared, **(pulled or {}))
     base = now["answer_asked"] if rules.dated_from_question else now["time"]
-    return _with(now, **done, proof=max(now["proof"], base - now["answer_age"]))
+    return _with(now, **cleared, proof=max(now["proof"], base - now["answer_age"]))
 
 
 def _update_steps(rules: RelayRules, now: dict[str, int]) -> Steps:
@@ -149,16 +151,16 @@
         base, at = now[f"{slot}_base"], now[f"{slot}_at"]
         if at == NONE:
             continue
-        gone = {f"{slot}_base": NONE, f"{slot}_at": NONE}
-        steps.append((f"lose({base}..{at})", _with(now, **gone)))
+        cleared = {f"{slot}_base": NONE, f"{slot}_at": NONE}
+        steps.append((f"lose({base}..{at})", _with(now, **cleared)))
         steps.append(
-            (f"take({base}..{at})", _with(now, **gone, **_apply_update(rules, now, base, at)))
+            (f"take({base}..{at})", _with(now, **cleared, **_apply_update(rules, now, base, at)))
         )
     return steps
 
 
 def _apply_update(rules: RelayRules, now: dict[str, int], base: int, at: int) -> dict[str, int]:
-    """Mirror of ``StoreSync.take_update``."""
+    """Return the follower's changes; mirrors ``StoreSync.install_update``."""
     entries = now["entries"]
     for number in range(base + 1, at + 1):
         entries |= 1 << number
@@ -168,7 +170,7 @@
 
 
 def _enqueue_update(now: dict[str, int], base: int, at: int) -> dict[str, int] | None:
-    """Put an update under way; None when there are two already."""
+    """Put an update in flight; return None if two already are."""
     for slot in ("first", "second"):
         if now[f"{slot}_at"] == NONE:
             return {f"{slot}_base": base, f"{slot}_at": at}
--- a/spec/rollout_spec.py
+++ b/spec/rollout_spec.py
@@ -1,18 +1,17 @@
 """Specification of a software rollout's record: two leaders, late writes, a daemon that restarts.
 
-One version is tried out and, as it happens, found bad at some moment. Two daemons take themselves
-for the leader, one of them wrongly; a write reaches the store at any later time, once or twice, or
-never. A third daemon gives the version requests by what it knows. Mirrors ``SoftwareState``,
-``SoftwareRollout`` and ``SoftwareVersions``. Writes name the leader's entry besides, which the
-claims do not need. Nor do they need what a step waits for, as long as it is not a fault: idle
-replicas, capacity, everybody heard. A leader here may take each step at any time.
-
-Claims: a version that was judged bad is never tried, moved to or put in force again, whoever writes
-and however late; and once the bound on rollbacks has passed since the judgement, no daemon gives
-the version its share.
-
-State: the record's revision and phase, whether the version was judged bad, the order's number, what
-was found, what each leader knows, one write under way, what the daemon knows.
+One version is on trial and is found bad at some time. Two daemons act as leader, one of them
+wrongly. A write reaches the store at any later time, once, twice or never. A third daemon assigns
+requests to the version by its own copy of the record. Mirrors ``SoftwareState``,
+``SoftwareRollout`` and ``SoftwareVersions``, with two simplifications that only add behaviour:
+writes are not conditional on the leader's entry, and a leader may take a step at any time, without
+waiting for idle replicas, capacity or reports.
+
+Checked: a version judged bad never returns to the trial, moved or completed phase, whoever writes
+and however late; and once the bound on rollbacks has passed, no daemon assigns requests to it.
+
+State: the record's revision and phase, whether the version was judged bad, the number of orders,
+whether it was found bad, what each leader knows, one write in flight, what the daemon knows.
 """
 
 from __future__ import annotations
@@ -51,7 +50,7 @@
 
 
 class Phase(enum.IntEnum):
-    """Phases of the record; a rollback is told apart from the beginning."""
+    """Phases of the record; ROLLED_BACK is distinct from SETTLED, the state before a rollout."""
 
     SETTLED = 0
     TRIAL = 1
@@ -65,20 +64,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class RolloutRules:
-    """The rules under check; the mutants change one each."""
+    """The protocol's rules; each mutant violates one."""
 
-    #: A write names the record's revision and changes nothing if that is another.
+    #: A write is conditional on the record's revision.
     names_revision: bool = True
-    #: A version that was judged bad is remembered, and an order for it is refused.
+    #: The record remembers a version that was judged bad, and a new order for it is refused.
     remembers_bad: bool = True
-    #: A share whose proof is older than the bound holds no more.
+    #: A share of requests is void once its proof is older than the bound.
     proof_expires: bool = True
-    #: A daemon that has started holds no share until it has a proof of its own.
+    #: A restarted daemon assigns no share until it has a proof.
     starts_without_proof: bool = True
 
 
 def rollout_protocol(rules: RolloutRules) -> Protocol:
-    """Build the protocol for minicheck."""
+    """Return the protocol for minicheck."""
 
     def transitions(state: State) -> Steps:
         now = dict(zip(FIELDS, state, strict=True))
@@ -119,7 +118,7 @@
 
 
 def _gives_share(state: dict[str, int]) -> bool:
-    """Mirror of ``SoftwareVersions.goes_to_target``."""
+    """Return whether the daemon assigns requests; mirrors ``SoftwareVersions.assign_to_target``."""
     is_trial = state["daemon_phase"] == Phase.TRIAL
     return bool(is_trial and state["daemon_proof"] and not state["daemon_stopped"])
 
@@ -136,11 +135,11 @@
     if now["judged_bad"] and not now["bound_passed"]:
         lapsed = {"daemon_proof": 0} if now["daemon_behind"] and rules.proof_expires else {}
         steps.append(("bound_passes", _with(now, bound_passed=1, **lapsed)))
-    again = now["phase"] == Phase.ROLLED_BACK and now["orders"] < 2
-    if again and now["revision"] < MAX_REVISIONS:
+    may_reorder = now["phase"] == Phase.ROLLED_BACK and now["orders"] < 2
+    if may_reorder and now["revision"] < MAX_REVISIONS:
         phase = Phase.ROLLED_BACK if rules.remembers_bad and now["judged_bad"] else Phase.TRIAL
-        more = {"orders": 2, "revision": now["revision"] + 1, "phase": phase, "daemon_behind": 1}
-        ordered = _with(now, **more)
+        changes = {"orders": 2, "revision": now["revision"] + 1, "phase": phase, "daemon_behind": 1}
+        ordered = _with(now, **changes)
         steps.append(("order_again", ordered))
     return steps
 
@@ -152,15 +151,22 @@
         steps.append((f"read({leader})", _with(now, **known)))
         if now["found_bad"]:
             steps.append((f"hear_bad({leader})", _with(now, **{f"bad_{leader}": 1})))
-        wanted = _wanted(now, leader)
-        if now["write_by"] == NONE and wanted is not None:
-            write = {"write_by": leader, "write_on": now[f"known_{leader}"], "write_phase": wanted}
-            steps.append((f"write({leader}:{wanted.name})", _with(now, **write)))
+        next_phase = _next_phase(now, leader)
+        if now["write_by"] == NONE and next_phase is not None:
+            write = {
+                "write_by": leader,
+                "write_on": now[f"known_{leader}"],
+                "write_phase": next_phase,
+            }
+            steps.append((f"write({leader}:{next_phase.name})", _with(now, **write)))
     return steps
 
 
-def _wanted(now: dict[str, int], leader: int) -> Phase | None:
-    """Mirror of ``next_step``: back where the version is known to be bad, else on."""
+def _next_phase(now: dict[str, int], leader: int) -> Phase | None:
+    """Return the leader's next phase: back if it knows that the version is bad, else forward.
+
+    Mirrors ``core.software_plan.next_step``.
+    """
     phase = now[f"phase_{leader}"]
     if phase not in _RUNNING:
         return None
@@ -172,17 +178,17 @@
 def _write_steps(rules: RolloutRules, now: dict[str, int]) -> Steps:
     if now["write_by"] == NONE:
         return []
-    gone = {"write_by": NONE, "write_on": NONE, "write_phase": NONE}
-    done = _apply_write(rules, now)
+    cleared = {"write_by": NONE, "write_on": NONE, "write_phase": NONE}
+    applied = _apply_write(rules, now)
     return [
-        ("lose", _with(now, **gone)),
-        ("arrive", _with(now, **gone, **done)),
-        ("arrive_and_come_again", _with(now, **done)),
+        ("lose", _with(now, **cleared)),
+        ("arrive", _with(now, **cleared, **applied)),
+        ("arrive_and_come_again", _with(now, **applied)),
     ]
 
 
 def _apply_write(rules: RolloutRules, now: dict[str, int]) -> dict[str, int]:
-    """Return what a write changes in the store: nothing if a condition does not hold."""
+    """Return the changes of a write to the store; empty if its condition fails."""
     if rules.names_revision and now["write_on"] != now["revision"]:
         return {}
     if now["revision"] >= MAX_REVISIONS:
--- a/spec/suspension_spec.py
+++ b/spec/suspension_spec.py
@@ -1,11 +1,11 @@
-"""Specification of beliefs that age: nothing is done on one that has outlived its bound.
+"""Specification of grants that expire: no holder acts on an expired grant after a suspension.
 
-A belief (a lease, a proof, a bound on replaced weights) is renewed, grows old, and is acted on
-while it is younger than its holder may rely on it. Others take it for over at a larger age, by true
-time. The holder's machine may be suspended at any moment, for any time; whether its clock counts
-that is the rule under check.
+A grant (a lease, a proof, a bound on replaced weights) is renewed and ages. Its holder acts on it
+below a maximum age on its own clock; others treat it as expired from a higher age on, in true time.
+The holder's machine may be suspended at any time, for any duration; the rule under check is that
+its clock counts this time.
 
-State: (true age, age by the holder's clock, outlived). Ages in ticks.
+State: (true age, age on the holder's clock, acted after expiry). Ages are in ticks.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class SuspensionRules:
-    """The rules under check; the mutants change one each."""
+    """The protocol's rules; each mutant violates one. Ages are in ticks."""
 
     horizon: int = 8
-    #: Age up to which the holder acts, and from which others take the belief for over.
+    #: Age below which the holder acts, and age from which others treat the grant as expired.
     max_action_age: int = 2
     expires_at_age: int = 4
     counts_suspension: bool = True
 
 
 def suspension_protocol(rules: SuspensionRules) -> Protocol:
-    """Build the protocol for minicheck."""
+    """Return the protocol for minicheck."""
 
     def transitions(state: State) -> Steps:
         age, seen, outlived = state
@@ -38,8 +38,8 @@
         if age < rules.horizon:
             steps.append(("tick", (age + 1, seen + 1, outlived)))
         for ticks in range(1, rules.horizon - age + 1):
-            slept = seen + ticks if rules.counts_suspension else seen
-            steps.append((f"sleep({ticks})", (age + ticks, slept, outlived)))
+            seen_after = seen + ticks if rules.counts_suspension else seen
+            steps.append((f"sleep({ticks})", (age + ticks, seen_after, outlived)))
         if age < rules.expires_at_age:
             steps.append(("renew", (0, 0, outlived)))
         if seen < rules.max_action_age:
