--- a/tests/test_fault_standins.py
+++ b/tests/test_fault_standins.py
@@ -1,4 +1,4 @@
-"""Faults of the stand-ins: ways, connections and replicas, as the soak strikes them."""
+"""Tests of the stand-ins' faults: links, connections, replicas and their store entries."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from standins.weights_operator import WeightsOperator
 from tests.relay_support import ReceivedAnswer, read_answer
 
-#: Bytes that are lost never come: looked for this long.
-_SILENCE_S = 0.2
+#: Time for which a test waits for an answer that must not arrive.
+_NO_ANSWER_S = 0.2
 _MODEL = "model"
 
 
@@ -31,20 +31,20 @@
         host, _, port = address.rpartition(":")
         return cls(*await asyncio.open_connection(host, int(port)))
 
-    async def ask(self, path: str, headers: str = "", body: bytes = b"") -> ReceivedAnswer:
+    async def request(self, path: str, headers: str = "", body: bytes = b"") -> ReceivedAnswer:
         """Send a request and wait for its answer."""
         head = f"POST {path} HTTP/1.1\r\n{headers}Content-Length: {len(body)}\r\n\r\n"
         self._writer.write(head.encode() + body)
         return await read_answer(self._reader)
 
     def close(self) -> None:
-        """End it."""
+        """Abort the connection."""
         self._writer.transport.abort()
 
 
 class ProxyTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.asked: list[str] = []
+        self.received_paths: list[str] = []
         server = HttpServer(self._answer)
         await server.start()
         self.addAsyncCleanup(server.stop)
@@ -53,7 +53,7 @@
         self.addAsyncCleanup(self.proxy.stop)
 
     async def _answer(self, request: Request, writer: asyncio.StreamWriter) -> bool:
-        self.asked.append(request.path)
+        self.received_paths.append(request.path)
         write_answer(writer, 200)
         return True
 
@@ -62,30 +62,30 @@
         self.addCleanup(connection.close)
         return connection
 
-    async def test_refused_connections_are_reset_until_the_fault_ends(self) -> None:
+    async def test_new_connections_are_reset_until_the_fault_ends(self) -> None:
         self.proxy.fault = Fault.REFUSE
         with self.assertRaises((ConnectionError, asyncio.IncompleteReadError)):
-            await (await self._open()).ask("/refused")
+            await (await self._open()).request("/refused")
         self.proxy.fault = Fault.NONE
-        self.assertEqual((await (await self._open()).ask("/served")).status, 200)
-        self.assertEqual(self.asked, ["/served"])
+        self.assertEqual((await (await self._open()).request("/served")).status, 200)
+        self.assertEqual(self.received_paths, ["/served"])
 
-    async def test_those_turned_away_get_503_and_the_target_is_not_asked(self) -> None:
+    async def test_the_proxy_answers_503_without_the_target(self) -> None:
         connection = await self._open()
         self.proxy.fault = Fault.ANSWER_503
-        self.assertEqual((await connection.ask("/turned-away")).status, 503)
+        self.assertEqual((await connection.request("/turned-away")).status, 503)
         self.proxy.fault = Fault.NONE
-        self.assertEqual((await connection.ask("/served")).status, 200)
-        self.assertEqual(self.asked, ["/served"])
+        self.assertEqual((await connection.request("/served")).status, 200)
+        self.assertEqual(self.received_paths, ["/served"])
 
-    async def test_silent_connections_stay_silent_while_new_ones_work(self) -> None:
+    async def test_blackholed_connections_stay_so_while_new_ones_work(self) -> None:
         connection = await self._open()
-        self.assertEqual((await connection.ask("/before")).status, 200)
+        self.assertEqual((await connection.request("/before")).status, 200)
         self.proxy.blackhole_open_connections()
         with self.assertRaises(TimeoutError):
-            await asyncio.wait_for(connection.ask("/lost"), _SILENCE_S)
-        self.assertEqual((await (await self._open()).ask("/new")).status, 200)
-        self.assertEqual(self.asked, ["/before", "/new"])
+            await asyncio.wait_for(connection.request("/lost"), _NO_ANSWER_S)
+        self.assertEqual((await (await self._open()).request("/new")).status, 200)
+        self.assertEqual(self.received_paths, ["/before", "/new"])
 
 
 class ReplicaTest(unittest.IsolatedAsyncioTestCase):
@@ -109,9 +109,9 @@
         headers = f"X-Expected-Instance: {replica_id}\r\n"
         connection = await Connection.open(address)
         self.addCleanup(connection.close)
-        return (await connection.ask("/order", headers, json.dumps(order).encode())).status
+        return (await connection.request("/order", headers, json.dumps(order).encode())).status
 
-    async def test_an_entry_that_is_written_late_names_the_address_of_the_living(self) -> None:
+    async def test_a_late_entry_has_the_address_of_the_restarted_replica(self) -> None:
         address = self._address("i-1")
         entry = await self.replica.crash()
         entry.lapse()
@@ -124,19 +124,19 @@
         self.assertIsNone(self._entry("i-1"))
         self.assertEqual(self._address("i-1'"), address)
 
-    async def test_a_late_entry_does_not_last_over_one_that_is_back_under_its_id(self) -> None:
-        """The living replica writes its entry with each heartbeat: it is not gone for good."""
+    async def test_a_late_entry_does_not_last_over_one_restarted_under_its_id(self) -> None:
+        """A late or lapsed old entry must not remove the running replica's entry for good."""
         entry = await self.replica.crash()
         await self.replica.restart(keeps_id=True)
-        living = self._entry("i-1")
+        current = self._entry("i-1")
         entry.lapse()
-        self.assertEqual(self._entry("i-1"), living)
+        self.assertEqual(self._entry("i-1"), current)
         entry.write_late()
-        self.assertNotEqual(self._entry("i-1"), living)
+        self.assertNotEqual(self._entry("i-1"), current)
         entry.lapse()
-        self.assertEqual(self._entry("i-1"), living)
+        self.assertEqual(self._entry("i-1"), current)
 
-    async def test_an_order_to_an_incarnation_that_has_ended_is_not_taken(self) -> None:
+    async def test_an_order_to_an_earlier_incarnation_is_refused(self) -> None:
         address = self._address("i-1")
         (await self.replica.crash()).lapse()
         await self.replica.restart()
@@ -144,7 +144,7 @@
         self.assertEqual(self.replica.orders, [])
         self.assertEqual(await self._order("i-1'", address, 2), 202)
 
-    async def test_a_crash_ends_a_load_and_the_version_stays(self) -> None:
+    async def test_a_crash_aborts_a_load_and_keeps_the_version(self) -> None:
         self.replica.load_duration_s = 0.05
         self.assertEqual(await self._order("i-1", self._address("i-1"), 2), 202)
         (await self.replica.crash()).lapse()
@@ -153,24 +153,26 @@
         await self.replica.restart()
         self.assertEqual(self.replica.weights_version, 1)
 
-    async def test_a_replica_that_was_ended_does_not_return(self) -> None:
+    async def test_a_stopped_replica_does_not_restart(self) -> None:
         entry = await self.replica.crash()
         await self.replica.stop()
         await self.replica.restart()
         self.assertIsNone(self._entry("i-1'"))
         entry.lapse()
 
-    async def test_a_generation_is_recorded_with_the_weights_that_it_began_on(self) -> None:
+    async def test_a_generation_is_recorded_with_the_version_at_its_start(self) -> None:
         headers = "X-Request-Id: r-1\r\nX-Token-Usage: 40,2\r\n"
         connection = await Connection.open(self._address("i-1"))
         self.addCleanup(connection.close)
-        self.assertEqual((await connection.ask("/any", headers)).status, 200)
-        (begun,) = self.replica.generations
-        self.assertEqual((begun.request_id, begun.replica_id, begun.version), ("r-1", "i-1", 1))
-        self.assertLess(begun.arrived_at_s, begun.started_at_s)
+        self.assertEqual((await connection.request("/any", headers)).status, 200)
+        (generation,) = self.replica.generations
+        self.assertEqual(
+            (generation.request_id, generation.replica_id, generation.version), ("r-1", "i-1", 1)
+        )
+        self.assertLess(generation.arrived_at_s, generation.started_at_s)
 
-    async def test_a_replica_that_is_started_before_its_time_ends_again(self) -> None:
-        """A run of a request that ends replicas stayed for good, and a load waited for it."""
+    async def test_a_replica_restarted_before_its_delay_ends_again(self) -> None:
+        """Guards against a fatal run that never ends and so blocks later loads of weights."""
         self.replica.fatal_request = FatalRequest(
             b"fatal", crash_after_s=0.01, restart_after_s=60.0
         )
@@ -179,36 +181,36 @@
             self.addCleanup(connection.close)
             headers = f"X-Request-Id: r{number}\r\nX-Token-Usage: 1,1\r\n"
             with self.assertRaises((asyncio.IncompleteReadError, ConnectionError)):
-                await connection.ask("/review/x", headers, b"fatal")
+                await connection.request("/review/x", headers, b"fatal")
             await self.replica.restart()
         self.assertEqual(self.replica.running, 0)
         self.assertEqual(
             [run.crashed_at_s is None for run in self.replica.fatal_runs], [False, False]
         )
 
-    async def test_a_request_arrives_before_a_slow_replica_rests(self) -> None:
+    async def test_the_arrival_time_is_before_the_delay_of_a_slow_answer(self) -> None:
         self.replica.fault_injector.set_fault(ReplicaFault.SLOW)
         connection = await Connection.open(self._address("i-1"))
         self.addCleanup(connection.close)
         while not self.replica.fault_injector.faulty_answers:
             headers = "X-Request-Id: r-1\r\nX-Token-Usage: 40,2\r\n"
-            self.assertEqual((await connection.ask("/any", headers)).status, 200)
-        begun = self.replica.generations[-1]
-        self.assertGreater(begun.started_at_s - begun.arrived_at_s, SLOW_ANSWER_DELAY_S)
+            self.assertEqual((await connection.request("/any", headers)).status, 200)
+        generation = self.replica.generations[-1]
+        self.assertGreater(generation.started_at_s - generation.arrived_at_s, SLOW_ANSWER_DELAY_S)
 
-    async def test_what_comes_on_a_silent_connection_is_not_run(self) -> None:
+    async def test_a_request_on_a_blackholed_connection_is_not_run(self) -> None:
         headers = "X-Request-Id: r-1\r\nX-Token-Usage: 40,2\r\n"
         connection = await Connection.open(self._address("i-1"))
         self.addCleanup(connection.close)
-        self.assertEqual((await connection.ask("/report")).status, 200)
+        self.assertEqual((await connection.request("/report")).status, 200)
         self.replica.blackhole_open_connections()
         with self.assertRaises(TimeoutError):
-            await asyncio.wait_for(connection.ask("/any", headers), _SILENCE_S)
+            await asyncio.wait_for(connection.request("/any", headers), _NO_ANSWER_S)
         self.assertEqual(self.replica.ran, [])
 
 
 class WeightsOperatorTest(unittest.IsolatedAsyncioTestCase):
-    async def test_it_keeps_when_each_version_was_acknowledged(self) -> None:
+    async def test_acknowledgement_times_are_recorded(self) -> None:
         store = StoreServer()
         operator = WeightsOperator(store, _MODEL)
         self.assertEqual(operator.newest_version, 0)
--- a/tests/test_store_standin.py
+++ b/tests/test_store_standin.py
@@ -1,4 +1,4 @@
-"""The stand-in of the platform's store: what the soak's verdicts rest on."""
+"""Tests of the store stand-in, on which the soak's checks rely."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 
 class LeaseTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_lease_that_is_over_is_never_taken_for_a_later_one(self) -> None:
-        """A holder that had been cut off renewed its successor's lease, and both gave orders."""
+    async def test_an_ended_lease_is_not_renewed_after_a_new_grant(self) -> None:
+        """Guards against reused lease ids, with which two daemons could hold one lease."""
         server = StoreServer()
         await server.start()
         self.addAsyncCleanup(server.stop)
