--- a/winchfork/platform/__init__.py
+++ b/winchfork/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translation between the platform's wire and the router: names, documents, calls; nothing else."""
+"""Translates the platform's headers, documents and calls to the router's types, and back."""
--- a/winchfork/platform/__main__.py
+++ b/winchfork/platform/__main__.py
@@ -1,10 +1,10 @@
-"""The router as the platform starts it: ``python3 -m winchfork.platform``."""
+"""Entry point of the router on the platform: ``python3 -m winchfork.platform``."""
 
 from __future__ import annotations
 
 import sys
 
-from winchfork.early_stop import STARTED_AT_S  # isort: skip - before the slow imports
+from winchfork.early_stop import STARTED_AT_S  # isort: skip - has to precede the slow imports
 from winchfork.errors import Failure
 from winchfork.platform.adapters import platform_adapters
 from winchfork.platform.settings import read_settings
@@ -12,7 +12,7 @@
 
 
 def main() -> int:
-    """Run until SIGTERM; 0 after a planned stop, 2 for bad settings."""
+    """Run until SIGTERM; return 0 after a planned stop, 2 for invalid settings."""
     settings = read_settings()
     if isinstance(settings, Failure):
         print(f"winchfork: {settings}", file=sys.stderr)
--- a/winchfork/platform/adapters.py
+++ b/winchfork/platform/adapters.py
@@ -1,4 +1,4 @@
-"""The platform's translations, bundled for a router process."""
+"""Bundles the platform's adapters for a router process."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def platform_adapters() -> RouterAdapters:
-    """Return what a router needs to run on the platform."""
+    """Return the adapters with which a router runs on the platform."""
     return RouterAdapters(
         header_codec=PlatformHeaderCodec(),
         documents=PlatformDocumentCodec(),
--- a/winchfork/platform/documents.py
+++ b/winchfork/platform/documents.py
@@ -1,4 +1,7 @@
-"""The operator's documents and the replicas' entries to the router's own types."""
+"""Decodes operators' documents and replicas' store entries into the router's types.
+
+Encodes the status of rollouts for operators.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +31,7 @@
 from winchfork.stores.async_key_value import PutItem, StoreItem
 
 _Shape = TypeVar("_Shape")
-#: Whole numbers of entries: what a double holds exactly, and every peer's message.
+#: Non-negative integers that a double holds exactly.
 _Count = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 _Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 _MAX_PORT = 65_535
@@ -40,7 +43,7 @@
 
 
 class _PascalStruct(msgspec.Struct, rename="pascal"):
-    """Field names in the platform's spelling."""
+    """Base of records whose JSON field names are in Pascal case."""
 
 
 class _Split(_PascalStruct):
@@ -100,11 +103,11 @@
     api_keys: list[str] = msgspec.field(default_factory=list)
     priority: int | None = None
     isolated: bool = False
-    #: What ``rate_per_s`` and ``burst`` count; requests where it is not given.
+    #: Unit of ``rate_per_s`` and ``burst``.
     unit: QuotaUnit = QuotaUnit.REQUESTS
     rate_per_s: float = 0.0
     burst: float = 0.0
-    #: Tokens that a request counts as if its headers do not say what it uses.
+    #: Tokens charged for a request whose headers do not give its token usage.
     uncached_tokens: float = 0.0
 
 
@@ -153,7 +156,7 @@
     """Implements :class:`winchfork.router.documents.DocumentReader` and its ``StatusWriter``."""
 
     def read(self, item: StoreItem) -> Document | Failure | None:
-        """Return the document of an entry; None for entries that are none of the router's."""
+        """Return the document of an entry; None for an entry that the router does not use."""
         if item.key.startswith(names.REPLICA_PREFIX):
             return _replica(item)
         if item.value is None:
@@ -170,7 +173,7 @@
         return None
 
     def rollout_status(self, service: str, target: str, outcome: RolloutOutcome) -> PutItem:
-        """Return the entry that tells operators how a rollout of software stands."""
+        """Return the entry that shows operators the state of a software rollout."""
         status = _RolloutStatus(_ROLLOUT_STATES[outcome], target)
         key = names.ROLLOUT_STATUS_PREFIX + service
         return PutItem(key, msgspec.json.encode(status))
@@ -189,8 +192,8 @@
         return order
     if not order.target_version or not order.service:
         return FailureKind.BAD_DOCUMENT.because(
-            f"{item.key}: the service or the version is empty",
-            remedy="name the service and the version that it is to be moved to",
+            f"{item.key}: the service or the target version is empty",
+            remedy="set both the service and the target version",
         )
     return SoftwareOrder(order.service, order.target_version, order.duration_s, item.revision)
 
@@ -204,8 +207,8 @@
         return UnreadableReplica(replica_id, entry)
     if not _is_address(entry.address):
         failure = FailureKind.BAD_DOCUMENT.because(
-            f"{item.key}: {entry.address} is no address",
-            remedy="write an IP number and a port, as 10.0.0.1:8080",
+            f"{item.key}: {entry.address} is not an address",
+            remedy="use an IPv4 address and a port, such as 10.0.0.1:8080",
         )
         return UnreadableReplica(replica_id, failure)
     return ReplicaListing(
@@ -252,8 +255,8 @@
 def _tenant(tenant: _Tenant) -> TenantPolicy:
     limit = None
     if tenant.rate_per_s > 0.0:
-        undeclared = 1.0 if tenant.unit is QuotaUnit.REQUESTS else tenant.uncached_tokens
-        limit = TenantLimit(tenant.rate_per_s, tenant.burst, tenant.unit, undeclared)
+        default_charge = 1.0 if tenant.unit is QuotaUnit.REQUESTS else tenant.uncached_tokens
+        limit = TenantLimit(tenant.rate_per_s, tenant.burst, tenant.unit, default_charge)
     return TenantPolicy(
         tenant.name, tuple(tenant.api_keys), tenant.priority, tenant.isolated, limit
     )
@@ -303,5 +306,5 @@
         return msgspec.json.decode(item.value or b"", type=shape)
     except (msgspec.DecodeError, RecursionError) as error:
         return FailureKind.BAD_DOCUMENT.because(
-            f"{item.key}: {error}", remedy="the operators' document does not fit the router's"
+            f"{item.key}: {error}", remedy="correct the document to match the expected schema"
         )
--- a/winchfork/platform/forwarded_headers.py
+++ b/winchfork/platform/forwarded_headers.py
@@ -1,8 +1,8 @@
-"""Which of a caller's headers a replica is given.
+"""Selects the headers of a caller that are forwarded to a replica.
 
-What the wire defines has an owner in :data:`winchfork.platform.names.HEADER_OWNERS`. A header that
-the table does not list passes only if its name shares no namespace with those that the router or a
-replica sets, so that one which a replica understands and nobody listed cannot be forged.
+:data:`winchfork.platform.names.HEADER_OWNERS` names the owner of each header of the platform. A
+header that is not in the table is forwarded only if it shares no namespace with headers that the
+router or a replica sets: a caller cannot forge an internal header that the table lacks.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 from winchfork.platform.names import HeaderOwner
 from winchfork.router.http_types import Headers, end_to_end
 
-_LENGTH: Final = b"content-length"
+_CONTENT_LENGTH: Final = b"content-length"
 _EXTENSION_PREFIX: Final = b"x-"
 _OWNERS: Final = {name.lower(): owner for name, owner in names.HEADER_OWNERS.items()}
 _CALLER_HEADERS: Final = frozenset(
     name for name, owner in _OWNERS.items() if owner is HeaderOwner.CALLER
 )
-#: Headers of HTTP itself whose names begin like one of the wire's.
-_STANDARD: Final = frozenset({b"cache-control"})
+#: Standard HTTP headers that are forwarded although they share a reserved namespace.
+_STANDARD_HEADERS: Final = frozenset({b"cache-control"})
 
 
 def _namespace(name: bytes) -> bytes:
-    """Return the first word of a header's name, however it is spelled: ``kv`` of ``X_Kv-Fetch``."""
+    """Return the first word of a header's name after ``X-``: ``kv`` for ``X_Kv-Fetch``."""
     return _normalize(name).removeprefix(_EXTENSION_PREFIX).partition(b"-")[0]
 
 
 def _normalize(name: bytes) -> bytes:
-    """Return a name in the spelling of the table, in which some servers read underscores too."""
+    """Return a name in lower case with hyphens; some servers treat underscores as hyphens."""
     return name.lower().replace(b"_", b"-")
 
 
@@ -41,20 +41,20 @@
 
 
 def is_forwardable(name: bytes) -> bool:
-    """Whether a replica is given what a caller sent under this name."""
+    """Whether a caller's header of this name is forwarded to a replica."""
     lower = name.lower()
-    if lower in _CALLER_HEADERS or lower in _STANDARD:
+    if lower in _CALLER_HEADERS or lower in _STANDARD_HEADERS:
         return True
     return _normalize(name) not in _OWNERS and _namespace(name) not in _RESERVED_NAMESPACES
 
 
 def forwarded_headers(headers: Headers) -> Headers:
-    """Return the caller's headers that travel on, without the length of the body.
+    """Return the caller's headers to forward, without ``Content-Length``.
 
-    A caller cannot take a header of the wire out by naming it in ``Connection``.
+    Headers that the platform assigns to the caller are forwarded even if ``Connection`` names them.
     """
     return [
         (name, value)
         for name, value in end_to_end(headers, keep=_CALLER_HEADERS)
-        if name.lower() != _LENGTH and is_forwardable(name)
+        if name.lower() != _CONTENT_LENGTH and is_forwardable(name)
     ]
--- a/winchfork/platform/headers.py
+++ b/winchfork/platform/headers.py
@@ -1,4 +1,4 @@
-"""Header names of the platform to the router's fields, and back."""
+"""Translates the platform's HTTP headers to the router's header fields, and back."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class PlatformHeaderCodec:
-    """The platform's header names; implements :class:`winchfork.router.header_codec.Dialect`."""
+    """Implements :class:`winchfork.router.header_codec.HeaderCodec` with the platform's headers."""
 
     def read_request(self, headers: Headers) -> RequestFields | Failure:
-        """Read a caller's headers."""
+        """Read the headers of a caller's request."""
         found = _by_name(headers)
         request_id = found.get(names.REQUEST_ID.lower(), "")
         if not request_id:
-            return _bad(names.REQUEST_ID, "is missing", "send an id of its own for each attempt")
+            return _bad(names.REQUEST_ID, "is missing", "send a unique id with each attempt")
         deadline = found.get(names.DEADLINE_MS.lower())
         deadline_s = _milliseconds(deadline) if deadline is not None else None
         if deadline is not None and deadline_s is None:
-            return _bad(names.DEADLINE_MS, "is no number", "send whole milliseconds")
+            return _bad(names.DEADLINE_MS, "is not a number", "send whole milliseconds")
         prompt = _prompt(found)
         if isinstance(prompt, Failure):
             return prompt
@@ -38,8 +38,8 @@
         )
 
     def dispatch_headers(self, headers: Headers, fields: DispatchFields) -> Headers:
-        """Return a replica's headers: the caller's own and what the router sets."""
-        kept = forwarded_headers(headers)
+        """Return the headers for a replica: forwarded ones and those that the router sets."""
+        result = forwarded_headers(headers)
         added: list[tuple[bytes, object]] = [
             (names.DEADLINE_MS, max(1, int(fields.deadline_s * 1000))),
             (names.EXPECTED_INSTANCE, fields.replica_id),
@@ -51,11 +51,13 @@
             (names.KV_FETCH, fields.copy_from),
             (names.KV_SAVE, fields.save_to),
         ]
-        kept += [(name, str(value).encode("latin-1")) for name, value in added if value is not None]
-        return kept
+        result += [
+            (name, str(value).encode("latin-1")) for name, value in added if value is not None
+        ]
+        return result
 
     def read_answer(self, head: AnswerHead) -> AnswerFields:
-        """Read a replica's headers."""
+        """Read the headers of a replica's answer."""
         found = _by_name(head.headers)
         version = found.get(names.WEIGHT_VERSIONS.lower(), "")
         return AnswerFields(
@@ -74,7 +76,7 @@
 
 
 def _declared_tokens(usage: str) -> int | None:
-    """Return the tokens in and out added up; None where they are not given."""
+    """Return the sum of the prompt and output tokens; None if the prompt tokens are not given."""
     prompt_text, _, output_text = usage.partition(",")
     counts = [text.strip() for text in (prompt_text, output_text)]
     if not counts[0].isdigit():
@@ -97,12 +99,20 @@
     for entry in filter(None, found.get(names.PREFIX_HASH.lower(), "").split(",")):
         part_id, _, tokens = entry.strip().partition(":")
         if not tokens.isdigit():
-            return _bad(names.PREFIX_HASH, f"holds {entry[:40]!r}", "send ID:TOKENS, by commas")
+            return _bad(
+                names.PREFIX_HASH,
+                f"holds {entry[:40]!r}",
+                "send ID:TOKENS pairs separated by commas",
+            )
         parts.append(PromptPart(part_id, int(tokens)))
     usage = found.get(names.TOKEN_USAGE.lower(), "")
     prompt_text, _, output_text = usage.partition(",")
     if usage and not prompt_text.strip().isdigit():
-        return _bad(names.TOKEN_USAGE, f"holds {usage[:40]!r}", "send IN,OUT in whole tokens")
+        return _bad(
+            names.TOKEN_USAGE,
+            f"holds {usage[:40]!r}",
+            "send PROMPT_TOKENS,OUTPUT_TOKENS as whole numbers",
+        )
     prompt_tokens = int(prompt_text) if usage else sum(part.tokens for part in parts)
     output_tokens = int(output_text) if output_text.strip().isdigit() else 0
     return Prompt(model, tuple(parts), prompt_tokens, output_tokens)
--- a/winchfork/platform/names.py
+++ b/winchfork/platform/names.py
@@ -1,4 +1,4 @@
-"""The platform's header names, keys and paths, in one place."""
+"""The platform's header names, store keys and status codes."""
 
 from __future__ import annotations
 
@@ -36,21 +36,21 @@
 
 
 class HeaderOwner(enum.Enum):
-    """Who may set a header of the wire, and where it goes."""
+    """Who sets a header of the platform, and which requests or answers carry it."""
 
-    #: The caller sets it, and a replica is given it unchanged.
+    #: Set by the caller; forwarded to the replica unchanged.
     CALLER = "caller"
-    #: The caller sets it for the router alone; a replica never sees it.
+    #: Set by the caller for the router; never forwarded to a replica.
     CALLER_TO_ROUTER = "caller_to_router"
-    #: The router sets it; whatever a caller sends under it is dropped.
+    #: Set by the router; a value from the caller is dropped.
     ROUTER = "router"
-    #: A replica or the router answers with it; in a request it means nothing.
+    #: Set by a replica or the router in answers; dropped from requests.
     ANSWER = "answer"
-    #: Belongs to calls that the router makes itself, never to a caller's request.
+    #: Used in calls that the router makes on its own behalf; dropped from callers' requests.
     OTHER_CALL = "other_call"
 
 
-#: Every header that the wire defines, with its owner: the one table that decides what goes on.
+#: Owner of every header that the platform defines; decides which headers are forwarded.
 HEADER_OWNERS: Final = {
     REQUEST_ID: HeaderOwner.CALLER,
     MODEL: HeaderOwner.CALLER,
@@ -87,6 +87,6 @@
 REPLICA_PREFIX: Final = "servers/"
 ROLLOUT_ORDER_PREFIX: Final = "op/rollout/"
 ROLLOUT_STATUS_PREFIX: Final = "status/rollout/"
-#: The part of the rules under which operators order rollouts of software.
+#: Entry of the ``Contracts`` setting that enables software rollouts.
 ROLLOUT_CONTRACT: Final = "rollout"
 STATUS_MISDIRECTED: Final = 421
--- a/winchfork/platform/notices.py
+++ b/winchfork/platform/notices.py
@@ -1,4 +1,4 @@
-"""What a replica's answer says of the replica itself, read from the platform's headers."""
+"""Reads what a replica's answer states about the replica: draining, backoff and request limit."""
 
 from __future__ import annotations
 
@@ -13,44 +13,43 @@
 _LIMIT = names.SERVER_LIMIT.lower()
 _RETRY_AFTER = names.RETRY_AFTER.lower()
 _NOT_EXECUTED = names.NOT_EXECUTED.lower()
-#: How the names of headers begin in which replicas speak of themselves. One that is not known may
-#: ask for something that this build does not do, and an operator is told its name.
-_OWN_PREFIX = b"server-"
-#: A standard header that begins in the same way: timings for a caller's developers.
-_TIMING = b"server-timing"
-#: The one value that says that a replica leaves.
-_IS_LEAVING = b"1"
-#: Requests a second: digits with a point or without, no sign and no exponent.
+#: Prefix of the headers in which a replica describes itself. Unknown ones are reported by name.
+_REPLICA_PREFIX = b"server-"
+#: A standard HTTP header with the same prefix; not a notice.
+_SERVER_TIMING = b"server-timing"
+#: Value of ``Server-Leaving`` for a replica that drains.
+_LEAVING_VALUE = b"1"
+#: A number of requests per second: no sign, no exponent.
 _DECIMAL = re.compile(rb"\d{1,15}(\.\d{0,15})?|\.\d{1,15}")
 _STATUS_UNAVAILABLE = 503
 _STATUS_TOO_MANY = 429
-_NOTHING = AnswerNotice()
+_EMPTY_NOTICE = AnswerNotice()
 _MAX_SHOWN_CHARS = 40
 
 
 def read_notice(head: AnswerHead) -> AnswerNotice:
-    """Return what an answer says of its replica.
+    """Return the notice in an answer's headers.
 
-    The wait of a 503 is the replica's own. That of a 429 is too if it proves that the request did
-    not run; otherwise it is the application's word to the caller. On other answers that header
-    means something else. Of several waits the longest counts, of several limits the least.
+    ``Retry-After`` is the replica's backoff on a 503, and on a 429 with ``X-Not-Executed``. On any
+    other 429 it comes from the application and is for the caller; on other statuses it is ignored.
+    If headers repeat, the longest backoff and the lowest limit apply.
     """
     found = [item for item in head.headers if _may_be_notice(item[0].lower())]
     if not found:
-        return _NOTHING
-    words = _NoticeHeaders(_is_replica_backoff(head))
+        return _EMPTY_NOTICE
+    collected = _NoticeHeaders(_is_replica_backoff(head))
     for name, value in found:
-        words.add(name, value)
-    return words.to_notice()
+        collected.add(name, value)
+    return collected.to_notice()
 
 
 def _may_be_notice(name: bytes) -> bool:
-    """Whether a header may be a word; nearly all answers hold none: 0.7 us each instead of 2.4."""
-    return name.startswith(_OWN_PREFIX) or name == _RETRY_AFTER
+    """Whether a header may belong to a notice; a cheap filter, as most answers have no notice."""
+    return name.startswith(_REPLICA_PREFIX) or name == _RETRY_AFTER
 
 
 class _NoticeHeaders:
-    """The words of one answer, header by header."""
+    """Collects the notice headers of one answer."""
 
     def __init__(self, reads_retry_after: bool) -> None:
         self._reads_retry_after = reads_retry_after
@@ -62,22 +61,22 @@
         self._unknown: list[str] = []
 
     def add(self, name: bytes, value: bytes) -> None:
-        """Take in one header."""
+        """Add one header."""
         lowered = name.lower()
         if lowered == _LEAVING:
-            self._draining = self._draining or value.strip() == _IS_LEAVING
-            self._check(name, value, value.strip() == _IS_LEAVING)
+            self._draining = self._draining or value.strip() == _LEAVING_VALUE
+            self._check(name, value, value.strip() == _LEAVING_VALUE)
         elif lowered == _LIMIT:
             self._add_limit(name, value)
         elif self._reads_retry_after and lowered == _RETRY_AFTER:
             seconds = _seconds(value)
             self._backoffs_s += [] if seconds is None else [seconds]
             self._check(name, value, seconds is not None)
-        elif lowered.startswith(_OWN_PREFIX) and lowered != _TIMING:
+        elif lowered.startswith(_REPLICA_PREFIX) and lowered != _SERVER_TIMING:
             self._unknown.append(lowered[:_MAX_SHOWN_CHARS].decode("latin-1"))
 
     def to_notice(self) -> AnswerNotice:
-        """Return what they come to."""
+        """Return the notice that the added headers form."""
         return AnswerNotice(
             self._draining,
             max(self._backoffs_s, default=None),
@@ -88,7 +87,7 @@
         )
 
     def _add_limit(self, name: bytes, value: bytes) -> None:
-        """Read a limit; proxies join the values of several headers by commas."""
+        """Add a limit; proxies join repeated headers with commas."""
         self._names_limit = True
         texts = [text.strip() for text in value.split(b",")]
         readable = [float(text) for text in texts if _DECIMAL.fullmatch(text)]
@@ -102,14 +101,14 @@
 
 
 def _is_replica_backoff(head: AnswerHead) -> bool:
-    """Whether a wait in this answer is the replica's word on itself."""
+    """Whether ``Retry-After`` in this answer is a backoff of the replica."""
     if head.status == _STATUS_TOO_MANY:
         return find_header(head.headers, _NOT_EXECUTED) is not None
     return head.status == _STATUS_UNAVAILABLE
 
 
 def _seconds(value: bytes) -> float | None:
-    """Return a wait in seconds, which may have a fraction; None for dates and anything else."""
+    """Return a non-negative number of seconds; None for a date or any other value."""
     try:
         seconds = float(value.decode("latin-1"))
     except ValueError:
--- a/winchfork/platform/replicas.py
+++ b/winchfork/platform/replicas.py
@@ -1,4 +1,4 @@
-"""Calls to a replica's own interface: its report and its orders."""
+"""Calls to a replica's control interface: reading its report and giving orders."""
 
 from __future__ import annotations
 
@@ -18,7 +18,6 @@
 from winchfork.platform.notices import read_notice
 from winchfork.router.pooled_http_client import PooledHttpClient
 
-#: Time limits of the calls, in seconds.
 REPORT_TIMEOUT_S = 0.6
 ORDER_TIMEOUT_S = 1.0
 _OUTCOMES = {
@@ -53,7 +52,7 @@
     async def report(
         self, address: str, on_notice: OnNotice = ignore_notice
     ) -> ReplicaReport | Failure:
-        """Ask for the report."""
+        """Read the replica's report."""
         reply = await self._client.call(
             address,
             b"GET",
@@ -66,11 +65,13 @@
         if isinstance(reply, Failure):
             return reply
         if reply.status != 200:
-            return FailureKind.BACKEND_REFUSED.because(f"report answered {reply.status}")
+            return FailureKind.BACKEND_REFUSED.because(
+                f"the report call was answered with status {reply.status}"
+            )
         try:
             report = msgspec.json.decode(reply.body, type=_Report)
         except msgspec.DecodeError as error:
-            return FailureKind.BACKEND_FAILED.because(f"unreadable report: {error}")
+            return FailureKind.BACKEND_FAILED.because(f"the report cannot be decoded: {error}")
         versions = {model.name: model.version for model in report.models}
         return ReplicaReport(
             report.sequence, report.busy, report.running, report.waiting, versions, report.born
@@ -83,7 +84,7 @@
         allowed: Callable[[], bool],
         on_notice: OnNotice = ignore_notice,
     ) -> OrderOutcome | Failure:
-        """Give an order to load weights."""
+        """Order the replica to load weights; sent only if ``allowed`` holds at that moment."""
         body = {
             "Operation": "Version",
             "Model": order.model,
--- a/winchfork/platform/settings.py
+++ b/winchfork/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file (lines of ``a.b=value``) to the router's settings."""
+"""Reads the platform's settings file, with lines of ``a.b=value``, into the router's settings."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def read_settings(environment: Mapping[str, str] | None = None) -> RouterSettings | Failure:
-    """Read the file that the environment names."""
+    """Read the settings file that the environment variable names."""
     path = (environment or os.environ).get(names.SETTINGS_VARIABLE, "")
     try:
         text = Path(path).read_text()
@@ -30,7 +30,7 @@
 
 
 def parse_settings(text: str) -> RouterSettings | Failure:
-    """Read settings; keys that are not known are skipped."""
+    """Parse settings; unknown keys are ignored."""
     fields = _SettingsReader(text)
     bounds = RouterBounds(
         contact_s=fields.seconds("Bounds.ContactMs", 3_000),
@@ -79,7 +79,7 @@
 
 
 class _SettingsReader:
-    """Typed look-ups in the file; the first problem is kept."""
+    """Typed look-ups of settings; ``problem`` is the first failure, if any."""
 
     def __init__(self, text: str) -> None:
         self._values: dict[str, str] = {}
@@ -90,10 +90,10 @@
                 self._values[key.strip()] = value.strip()
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Return a text; a missing one without a default is a problem."""
+        """Return a text; a missing key without a default is a failure."""
         value = self._values.get(key, default)
         if value is None:
-            self._record_problem(key, "is missing", "the platform writes it at each start")
+            self._record_problem(key, "is missing", "set this key in the settings file")
             return ""
         return value
 
@@ -105,37 +105,37 @@
         try:
             return float(value)
         except ValueError:
-            self._record_problem(key, f"is {value!r}", "write a number")
+            self._record_problem(key, f"is {value!r}", "use a number")
             return float(default)
 
     def seconds(self, key: str, default_ms: float) -> float:
-        """Return a time that the file gives in milliseconds."""
+        """Return a time in seconds; the file gives milliseconds."""
         return self.number(key, default_ms) / 1000.0
 
     def address(self, key: str) -> str:
-        """Return an ``IP:PORT``."""
+        """Return an address as ``IP:PORT``."""
         value = self.text(key)
         host, _, port = value.rpartition(":")
         if value and not (host and port.isdigit()):
-            self._record_problem(key, f"is {value!r}", "write an IP number and a port")
+            self._record_problem(key, f"is {value!r}", "use an IP address and a port")
         return value
 
     def ports(self, key: str) -> tuple[int, int]:
-        """Return the first and the last of a range of ports."""
+        """Return the first and last port of a range; (0, 0) where it is missing."""
         first, _, last = self._values.get(key, "").partition(",")
         if not first:
             return (0, 0)
         if not (first.isdigit() and last.isdigit()):
-            self._record_problem(key, "is no range", "write FIRST,LAST")
+            self._record_problem(key, "is not a range", "use FIRST,LAST")
             return (0, 0)
         return int(first), int(last)
 
     def items(self, key: str) -> tuple[str, ...]:
-        """Return the items of a list, none where it is missing."""
+        """Return the items of a comma-separated list; empty where it is missing."""
         return tuple(filter(None, self._values.get(key, "").split(",")))
 
     def table(self, prefix: str) -> dict[str, str]:
-        """Return a table's values by name."""
+        """Return the values of all keys with a prefix, by the rest of the key."""
         return {
             key.removeprefix(prefix): value
             for key, value in self._values.items()
--- a/winchfork/platform/store.py
+++ b/winchfork/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store calls behind the router's key-value port."""
+"""Adapter of the router's key-value port for the platform's store, over HTTP."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 
 _Shape = TypeVar("_Shape")
 
-#: Time limit of a call, and what a watch may take beyond its wait.
 CALL_TIMEOUT_S = 1.2
+#: Time that a watch may take beyond its own wait.
 WATCH_SLACK_S = 0.9
 _MAX_PAGES = 200
 
@@ -61,7 +61,7 @@
 
 
 class _AnswerWithEra(msgspec.Struct, Generic[_Shape]):
-    """A successful answer's body and the era that the answer names."""
+    """The body of a successful answer and the store's era from its headers."""
 
     body: _Shape
     era: int
@@ -78,7 +78,7 @@
         self._on_answer = on_answer
 
     async def list(self, prefix: str) -> StoreSnapshot | Failure:
-        """Read every entry under a prefix, page by page."""
+        """Read every entry under a prefix, page by page; fails if the era changes in between."""
         items: list[StoreItem] = []
         at: StorePosition | None = None
         after = ""
@@ -90,15 +90,17 @@
             page = answer.body
             at = at or StorePosition(answer.era, page.at)
             if answer.era != at.era:
-                return FailureKind.HISTORY_LOST.because("the era changed between two pages")
+                return FailureKind.HISTORY_LOST.because(
+                    "the store's era changed between two pages of a list"
+                )
             items += [_item(entry) for entry in page.items]
             if not page.more or not page.items:
                 return StoreSnapshot(tuple(items), at)
             after = page.items[-1].key
-        return FailureKind.STORE_UNAVAILABLE.because("the list does not end")
+        return FailureKind.STORE_UNAVAILABLE.because("the list exceeds the maximum number of pages")
 
     async def watch(self, prefix: str, after_revision: int, wait_s: float) -> WatchBatch | Failure:
-        """Wait for changes."""
+        """Wait up to ``wait_s`` for changes after a revision."""
         query = urlencode(
             {"PathPrefix": prefix, "after": after_revision, "WaitMs": int(wait_s * 1000)}
         )
@@ -112,7 +114,7 @@
     async def transact(
         self, expected: Sequence[ExpectedRevision], puts: Sequence[PutItem]
     ) -> StorePosition | Failure:
-        """Write all or nothing."""
+        """Write all entries if every condition holds, otherwise none."""
         body = {
             "Expected": [{"PrivateKey": item.key, "Revision": item.revision} for item in expected],
             "put": [
@@ -131,14 +133,14 @@
         return StorePosition(answer.era, answer.body.revision)
 
     async def grant_lease(self, ttl_s: float) -> StoreLease | Failure:
-        """Open a lease."""
+        """Grant a lease."""
         answer = await self._write("/kv-lease", {"ttl_ms": int(ttl_s * 1000)}, _Lease)
         if isinstance(answer, Failure):
             return answer
         return StoreLease(answer.era, answer.body.lease)
 
     async def renew_lease(self, lease: StoreLease) -> bool | Failure:
-        """Renew a lease; False when it is over, or its era is."""
+        """Renew a lease; False if the lease or its era has ended."""
         target = f"/kv-keep/{lease.lease_id}"
         answer = await self._call(b"POST", target, b"", CALL_TIMEOUT_S)
         if isinstance(answer, Failure):
@@ -146,7 +148,7 @@
         return answer.era == lease.era
 
     async def end_lease(self, lease: StoreLease) -> Failure | None:
-        """End a lease."""
+        """Revoke a lease."""
         target = f"/kv-lease-end/{lease.lease_id}"
         answer = await self._call(b"DELETE", target, None, CALL_TIMEOUT_S)
         return answer if isinstance(answer, Failure) else None
@@ -185,11 +187,15 @@
 
 def _refused(reply: CallReply) -> Failure:
     if reply.status == 410:
-        return FailureKind.HISTORY_LOST.because("the store has forgotten this history")
+        return FailureKind.HISTORY_LOST.because(
+            "the store no longer has the changes since this revision"
+        )
     if reply.status == 404:
-        return FailureKind.NOT_FOUND.because("no such entry or lease")
+        return FailureKind.NOT_FOUND.because("the entry or the lease does not exist")
     if reply.status == 412:
-        return FailureKind.REVISION_CONFLICT.because("the entry has changed", ran=RunState.NOT_RUN)
+        return FailureKind.REVISION_CONFLICT.because(
+            "the entry is not at the expected revision", ran=RunState.NOT_RUN
+        )
     if reply.status in (429, 503):
         return FailureKind.STORE_RATE_LIMITED.because(
             f"the store answered {reply.status}", ran=RunState.NOT_RUN
@@ -205,7 +211,9 @@
     try:
         return _AnswerWithEra(msgspec.json.decode(answer.body, type=shape), answer.era)
     except msgspec.DecodeError as error:
-        return FailureKind.STORE_UNAVAILABLE.because(f"unreadable answer: {error}")
+        return FailureKind.STORE_UNAVAILABLE.because(
+            f"the store's answer cannot be decoded: {error}"
+        )
 
 
 def _item(entry: _Item) -> StoreItem:
@@ -214,7 +222,7 @@
 
 
 def _decode_value(text: str) -> bytes:
-    """Return an entry's bytes; what is no base64 is nobody's document, and not the call's end."""
+    """Return an entry's bytes; empty if it is not base64, so that one bad entry fails no call."""
     try:
         return base64.b64decode(text)
     except ValueError:
