--- a/winchfork/backends/engine_port.py
+++ b/winchfork/backends/engine_port.py
@@ -1,4 +1,4 @@
-"""What the router needs of a model engine; each engine protocol is one adapter of this port."""
+"""The port to model engines; each engine protocol has one adapter."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Dispatch:
-    """One attempt at a generation, with the fences it relies on.
+    """One attempt at a generation. Times in seconds.
 
-    ``attempt_id`` is unique per attempt, so that a late answer of an earlier attempt cannot be
-    taken for this one. ``emitted_text`` is what the caller has already received; the engine
-    continues after it. ``resume_offset`` resumes the same attempt's stream at that token instead.
-    ``import_from`` is the address of a replica from which the engine first copies the prompt's
-    leading ``import_blocks``.
+    ``attempt_id`` is unique per attempt, so that a late answer to an earlier attempt is recognized.
+    The engine refuses the attempt if its identity is not ``expected``. ``emitted_text`` is what the
+    caller has already received; the engine continues after it. ``resume_offset`` instead resumes
+    the same attempt's stream at that token. ``import_from`` is the address of a replica from which
+    the engine first copies the prompt's leading ``import_blocks`` cache blocks.
     """
 
     attempt_id: str
@@ -40,7 +40,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class StreamStart:
-    """The engine's first word: who it is and what it reused; the truth that corrects beliefs."""
+    """First event of a stream: the engine's identity and how many prompt tokens were cached.
+
+    Replaces the router's estimate of the engine's cache.
+    """
 
     identity: ReplicaIdentity
     cached_tokens: int
@@ -48,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class StreamPiece:
-    """One piece of text. ``offset`` is the index of its first token in the whole answer."""
+    """One piece of text; ``offset`` is the index of its first token in the whole answer."""
 
     offset: int
     token_count: int
@@ -64,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class StreamEnd:
-    """A complete stream; its absence means that the stream broke."""
+    """End of a complete stream; a stream without it was truncated."""
 
     finish_reason: FinishReason
     completion_tokens: int
@@ -72,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class StreamCallbacks:
-    """Receivers of a stream's parts. A returned Failure aborts the stream with that failure."""
+    """Callbacks for a stream's parts; a returned Failure aborts the stream with that failure."""
 
     on_start: Callable[[StreamStart], Failure | None]
     on_piece: Callable[[StreamPiece], Failure | None]
@@ -81,7 +84,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineReport:
-    """A read of an engine's event stream with its identity and load."""
+    """An engine's identity, load and the cache events after the requested sequence number."""
 
     identity: ReplicaIdentity
     load: ReplicaLoad
@@ -92,14 +95,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class CacheSnapshot:
-    """Everything that an engine holds, as (key, parent key) pairs."""
+    """All cached blocks of an engine, as pairs of block key and parent key."""
 
     report: EngineReport
     blocks: tuple[tuple[BlockKey, BlockKey], ...]
 
 
 class OrderKind(enum.Enum):
-    """What an engine can be ordered to do."""
+    """Kinds of orders to an engine."""
 
     LOAD_WEIGHTS = "load_weights"
     LOAD_ADAPTER = "load_adapter"
@@ -108,7 +111,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineOrder:
-    """A fenced order: an engine refuses a fence lower than the highest it has seen."""
+    """An order with a fencing token; an engine refuses one lower than the highest it has seen."""
 
     kind: OrderKind
     fence: int
@@ -122,11 +125,11 @@
     def generate(
         self, address: str, dispatch: Dispatch, callbacks: StreamCallbacks
     ) -> StreamEnd | Failure:
-        """Run one attempt to its end."""
+        """Run one attempt; block until its stream ends."""
         ...
 
     def cancel(self, address: str, attempt_id: str) -> Failure | None:
-        """Stop an attempt that nobody waits for."""
+        """Cancel an attempt whose caller no longer waits."""
         ...
 
     def report(self, address: str, after_sequence: int) -> EngineReport | Failure:
@@ -134,9 +137,9 @@
         ...
 
     def snapshot(self, address: str) -> CacheSnapshot | Failure:
-        """Read every cached block key, for a resync after a gap."""
+        """Read all cached blocks, to resynchronize after a gap in the events."""
         ...
 
     def order(self, address: str, order: EngineOrder) -> ReplicaIdentity | Failure:
-        """Give a fenced order."""
+        """Send a fenced order; return the engine's identity afterwards."""
         ...
--- a/winchfork/backends/http_client.py
+++ b/winchfork/backends/http_client.py
@@ -1,8 +1,7 @@
-"""HTTP by pycurl: pooled connections, streams, deadlines, and failures that say what is provable.
+"""HTTP client on pycurl: pooled connections, streams and timeouts.
 
-Two facts about a failed exchange matter to the caller and are kept apart: whether the request can
-have reached the back end at all (``BACKEND_UNREACHABLE`` proves that it did not), and whether an
-answer began (``BACKEND_BROKE`` proves nothing about execution).
+A failure states whether the request may have run: ``BACKEND_UNREACHABLE`` proves that it did not
+reach the back end; after ``BACKEND_FAILED`` its execution is unknown.
 """
 
 from __future__ import annotations
@@ -20,7 +19,7 @@
 from winchfork.errors import Failure, FailureKind, RunState
 
 _IDLE_HANDLES_PER_ORIGIN = 256
-#: curl errors raised before any byte of the request can have left.
+#: curl errors that occur before any byte of the request is sent.
 _NOT_SENT = frozenset(
     {
         pycurl.E_COULDNT_CONNECT,
@@ -34,10 +33,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class HttpRequest:
-    """One exchange. Times in seconds; ``silence_s`` bounds the time without a received byte.
+    """One request. Times in seconds.
 
-    ``single_use`` gives the exchange a connection of its own, which rules out that curl sends the
-    request a second time over a fresh connection when a kept one proves dead.
+    ``idle_timeout_s`` bounds the time without a received byte; 0 disables it. ``single_use`` opens
+    a connection for this request only, because curl may resend a request when a reused connection
+    turns out to be closed.
     """
 
     method: str
@@ -66,7 +66,7 @@
 
 
 class HttpClient:
-    """Thread-safe; each exchange borrows one curl handle, which keeps its connection alive."""
+    """Thread-safe client; each exchange borrows a curl handle with a persistent connection."""
 
     def __init__(self, *, verify_file: str | None = None) -> None:
         self._verify_file = verify_file
@@ -98,7 +98,7 @@
         on_data: Callable[[bytes], Failure | None],
         should_stop: Callable[[], Failure | None] = lambda: None,
     ) -> tuple[int, Mapping[str, str]] | Failure:
-        """Perform a request, handing over body data as it arrives; blocks until the end.
+        """Perform a request, passing on body data as it arrives; block until the end.
 
         The callbacks run on the pump's thread and must not block. Each may return a Failure to
         abort the exchange; that failure is the result.
@@ -118,7 +118,7 @@
         return exchange.status, exchange.headers
 
     def close(self) -> None:
-        """Close every idle connection."""
+        """Close all idle connections and the stream pump."""
         with self._lock:
             for handles in self._idle.values():
                 for handle in handles:
--- a/winchfork/backends/openai_engine.py
+++ b/winchfork/backends/openai_engine.py
@@ -1,7 +1,8 @@
-"""Adapter for engines that speak OpenAI-compatible completions with the usual vLLM-style extras.
+"""Adapter for engines with OpenAI-compatible completions and extensions in the style of vLLM.
 
-Extras used: ``priority``, ``cache_salt``, an ``expect`` fence, ``continue_from`` and a first stream
-event that names the engine's identity and the cached tokens.
+Extensions in use: ``priority``, ``cache_salt``, the expected identity in ``expect``,
+``continue_from``, ``resume_offset``, ``import``, and a first stream event with the engine's
+identity and the number of cached tokens.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 
 
 class _StreamReader:
-    """Cuts a server-sent event stream into the parts of one attempt."""
+    """Parses the server-sent events of one attempt and passes them to the callbacks."""
 
     def __init__(self, attempt_id: str, callbacks: StreamCallbacks) -> None:
         self.end: StreamEnd | None = None
@@ -74,14 +75,14 @@
             return self._on_body(body)
         except (ValueError, KeyError, TypeError) as error:
             return FailureKind.STREAM_BROKEN.because(
-                f"the engine sent an event that cannot be read: {type(error).__name__}",
+                f"the engine sent a malformed event: {type(error).__name__}",
                 ran=RunState.UNKNOWN,
             )
 
     def _on_body(self, body: dict[str, Any]) -> Failure | None:
         if body["id"] != self._attempt_id:
             return FailureKind.STREAM_BROKEN.because(
-                "the engine answered another attempt", ran=RunState.UNKNOWN
+                "the engine sent an event of another attempt", ran=RunState.UNKNOWN
             )
         if "engine" in body:
             identity = _identity(body["engine"])
@@ -101,7 +102,7 @@
 
 
 class OpenAiEngine:
-    """One adapter object serves all engines; connections are pooled by the HTTP client."""
+    """Implements ``EnginePort``; one object serves all engines."""
 
     def __init__(self, client: HttpClient) -> None:
         self._client = client
@@ -122,12 +123,12 @@
             return _refusal(status, reader.error_body, address)
         if reader.end is None:
             return FailureKind.STREAM_BROKEN.because(
-                f"{address} closed the stream before its end", ran=RunState.UNKNOWN
+                f"{address} closed the stream before sending a finish reason", ran=RunState.UNKNOWN
             )
         return reader.end
 
     def cancel(self, address: str, attempt_id: str) -> Failure | None:
-        """Stop an attempt that nobody waits for."""
+        """Cancel an attempt whose caller no longer waits."""
         body = json.dumps({"id": attempt_id}).encode()
         answer = self._client.exchange(
             HttpRequest(
@@ -142,7 +143,7 @@
         return body if isinstance(body, Failure) else _report(body)
 
     def snapshot(self, address: str) -> CacheSnapshot | Failure:
-        """Read every cached block key, for a resync after a gap."""
+        """Read all cached blocks, to resynchronize after a gap in the events."""
         body = self._get(f"{address}/engine/cache")
         if isinstance(body, Failure):
             return body
@@ -150,7 +151,7 @@
         return CacheSnapshot(_report(body), blocks)
 
     def order(self, address: str, order: EngineOrder) -> ReplicaIdentity | Failure:
-        """Give a fenced order."""
+        """Send a fenced order; return the engine's identity afterwards."""
         body = json.dumps(
             {
                 "kind": order.kind.value,
@@ -198,15 +199,15 @@
 
 
 def _refusal(status: int, body: bytes, address: str) -> Failure:
-    """Read a non-200 answer: below 500, and 503, an engine refuses before it executes."""
+    """Convert a non-200 answer; 503 and any status below 500 mean that the request did not run."""
     kind = FailureKind.BACKEND_REFUSED
-    proved = status < 500 or status == HTTP_UNAVAILABLE
+    proves_not_run = status < 500 or status == HTTP_UNAVAILABLE
     if status == HTTP_CONFLICT:
         kind = FailureKind.FENCE_MISMATCH
     elif status == HTTP_UNAVAILABLE:
         kind = FailureKind.NOT_ACCEPTING_WORK
     text = body[:200].decode("utf-8", "replace")
-    ran = RunState.NOT_RUN if proved else RunState.UNKNOWN
+    ran = RunState.NOT_RUN if proves_not_run else RunState.UNKNOWN
     return kind.because(f"{address} answered {status}: {text}", ran=ran)
 
 
@@ -220,7 +221,7 @@
     except ValueError:
         body = None
     if not isinstance(body, dict):
-        return FailureKind.BACKEND_FAILED.because(f"{address} sent no JSON object")
+        return FailureKind.BACKEND_FAILED.because(f"{address} did not send a JSON object")
     return body
 
 
--- a/winchfork/backends/replica_control.py
+++ b/winchfork/backends/replica_control.py
@@ -1,4 +1,4 @@
-"""The port to a replica's own interface: its report, and fenced orders for weights."""
+"""The port to a replica's control interface: its report, and fenced orders to load weights."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class ReplicaReport(msgspec.Struct, frozen=True):
-    """What a replica says of itself, as of some hundred milliseconds ago.
+    """A replica's own state; it may be some hundred milliseconds old.
 
-    ``born_ms`` is when it started, by its own clock; 0 where it does not say.
+    ``started_at_ms`` is the replica's start time by its own clock; 0 if it does not report one.
     """
 
     sequence: int
@@ -26,15 +26,15 @@
     started_at_ms: int = 0
 
     def is_of_another_incarnation(self, started_at_ms: int) -> bool:
-        """Whether an incarnation that started at another time has answered."""
+        """Whether both start times are known and differ."""
         return bool(self.started_at_ms and started_at_ms and self.started_at_ms != started_at_ms)
 
 
 class WeightsOrder(msgspec.Struct, frozen=True):
-    """Load ``version`` of ``model`` once running requests have ended.
+    """An order to load ``version`` of ``model`` once running requests have ended.
 
-    ``expected_sequence`` keeps an order that was lost and is carried out late from undoing a newer
-    one; ``replica_id`` keeps it from the successor at the same address.
+    ``expected_sequence`` keeps a delayed order from undoing a newer one; ``replica_id`` keeps it
+    from reaching a later replica at the same address. ``fence`` is the sender's fencing token.
     """
 
     replica_id: str
@@ -46,7 +46,7 @@
 
 
 class OrderOutcome(enum.Enum):
-    """What a replica said to an order."""
+    """How a replica answered an order."""
 
     ACCEPTED = "taken"
     ALREADY_LOADED = "already_so"
@@ -60,16 +60,16 @@
 
 
 def ignore_notice(notice: AnswerNotice) -> None:
-    """Take no notice."""
+    """Ignore the notice."""
 
 
 class ReplicaControl(Protocol):
-    """Calls to one replica; ``on_notice`` is told what each answer says of the replica itself."""
+    """Calls to one replica; ``on_notice`` receives the notice in each answer."""
 
     async def report(
         self, address: str, on_notice: OnNotice = ignore_notice
     ) -> ReplicaReport | Failure:
-        """Ask for the report."""
+        """Read the replica's report."""
         ...
 
     async def order(
@@ -79,8 +79,9 @@
         allowed: Callable[[], bool],
         on_notice: OnNotice = ignore_notice,
     ) -> OrderOutcome | Failure:
-        """Give an order, if ``allowed`` still holds as its first byte leaves.
+        """Send an order if ``allowed()`` is still true just before its first byte is sent.
 
-        A failure with run state "not run" was not sent; after any other it may be carried out late.
+        After a failure with ``RunState.NOT_RUN`` the order was not sent; after any other failure
+        the replica may still carry it out.
         """
         ...
--- a/winchfork/backends/stream_pump.py
+++ b/winchfork/backends/stream_pump.py
@@ -1,8 +1,7 @@
-"""One thread that moves every streaming exchange of an HTTP client.
+"""Runs all streaming exchanges of an HTTP client on one thread.
 
-A thread for each stream would contend for the interpreter with every chunk of every other stream;
-with one thread a chunk costs its own work only. Callbacks run on the pump's thread and must not
-block; a caller that reads slowly is the receiving side's affair (``gateway.direct_stream``).
+One thread avoids contention for the interpreter lock between streams. Callbacks run on the pump's
+thread and must not block; backpressure is up to the receiver (``gateway.direct_stream``).
 """
 
 from __future__ import annotations
@@ -20,20 +19,23 @@
 from winchfork.boot_clock import boot_seconds
 from winchfork.errors import Failure
 
-#: How often each running exchange is asked whether it should stop.
+#: Interval of the ``should_stop`` calls for each running exchange.
 _STOP_CHECK_PERIOD_S = 0.1
 
 
 @dataclasses.dataclass(frozen=True)
 class TransferEnd:
-    """How a transfer ended: curl's code (0 for success) and message, or what stopped it."""
+    """How a transfer ended: curl's code (0 for success) and message.
+
+    ``stopped`` is the failure from ``should_stop``, if that ended the transfer.
+    """
 
     code: int
     message: str
     stopped: Failure | None = None
 
 
-#: The end of transfers that the pump's own end stops.
+#: Result of transfers that are aborted because the pump closes.
 _CLOSED = TransferEnd(pycurl.E_ABORTED_BY_CALLBACK, "client closed")
 
 
@@ -45,7 +47,7 @@
 
 
 class StreamPump:
-    """Runs prepared curl handles. Thread-safe; the thread starts with the first transfer."""
+    """Runs prepared curl handles. Thread-safe; the first transfer starts the thread."""
 
     def __init__(self) -> None:
         self._multi = pycurl.CurlMulti()
@@ -66,7 +68,7 @@
     def run(
         self, handle: pycurl.Curl, should_stop: Callable[[], Failure | None]
     ) -> Future[TransferEnd]:
-        """Start a transfer; the handle belongs to the pump until the future is done."""
+        """Start a transfer; the caller must not use the handle until the future is done."""
         transfer = _Transfer(handle, should_stop, Future())
         with self._lock:
             if self._closing:
@@ -80,7 +82,7 @@
         return transfer.future
 
     def close(self) -> None:
-        """Stop the thread; running transfers end as stopped."""
+        """Stop the thread; running and queued transfers end as aborted. Safe to call twice."""
         with self._lock:
             if self._closing:
                 return
@@ -111,7 +113,7 @@
                 self._collect()
         for transfer in list(self._running.values()):
             self._finish(transfer, _CLOSED)
-        # Whoever wakes this thread holds the lock: the sockets outlive every wake-up.
+        # Senders of wake-ups hold the lock, so no wake-up is sent to a closed socket.
         with self._lock:
             for transfer in self._inbox:
                 transfer.future.set_result(_CLOSED)
@@ -128,7 +130,7 @@
             transfer = self._inbox.popleft()
             self._running[transfer.handle] = transfer
             self._multi.add_handle(transfer.handle)
-        # Kicks the added handles off.
+        # Starts the added handles.
         self._multi.socket_action(pycurl.SOCKET_TIMEOUT, 0)
         self._needs_collect = True
 
@@ -165,12 +167,12 @@
 
     def _collect(self) -> None:
         while True:
-            left, succeeded, failed = self._multi.info_read()
+            remaining, succeeded, failed = self._multi.info_read()
             for handle in succeeded:
                 self._finish(self._running[handle], TransferEnd(0, ""))
             for handle, code, message in failed:
                 self._finish(self._running[handle], TransferEnd(code, message))
-            if not left:
+            if not remaining:
                 return
 
     def _finish(self, transfer: _Transfer, end: TransferEnd) -> None:
--- a/winchfork/stores/__init__.py
+++ b/winchfork/stores/__init__.py
@@ -1,1 +1,1 @@
-"""Ports to what the platform gives, one adapter a file."""
+"""Ports to the platform's key-value service and machine list, and their adapters."""
--- a/winchfork/stores/async_key_value.py
+++ b/winchfork/stores/async_key_value.py
@@ -1,9 +1,9 @@
-"""The port to the platform's key-value service for a single-loop process.
+"""The asynchronous port to the platform's key-value service.
 
-Revisions come from one counter that every change raises, until the store comes back from a copy:
-that begins a new era, and what it had given out since the copy is void. A failed write may still
-have taken effect, now or seconds later: ``STORE_UNAVAILABLE`` from a write says nothing about it,
-while ``STORE_RATE_LIMITED`` and ``REVISION_CONFLICT`` say that nothing was done.
+Every change raises one revision counter. When the store is restored from a backup, a new era
+begins, and the revisions and leases that it issued after the backup become invalid. A write that
+fails with ``STORE_UNAVAILABLE`` may have taken effect, or may take effect seconds later; after
+``STORE_RATE_LIMITED`` or ``REVISION_CONFLICT`` nothing was written.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class StoreItem(msgspec.Struct, frozen=True):
-    """One entry as it was written; ``value`` is None where the entry was removed."""
+    """One entry and the revision of its last change; ``value`` is None if it was removed."""
 
     key: str
     value: bytes | None
@@ -26,28 +26,28 @@
 
 
 class StoreSnapshot(msgspec.Struct, frozen=True):
-    """Entries under a prefix, of one era; changes after ``at`` are still to be watched."""
+    """All entries under a prefix at ``position``, from which a watch continues."""
 
     items: tuple[StoreItem, ...]
     position: StorePosition
 
 
 class WatchBatch(msgspec.Struct, frozen=True):
-    """Changes in order, of one era; the next watch goes on after ``at``."""
+    """Changes of one era in order; the next watch continues after ``position``."""
 
     items: tuple[StoreItem, ...]
     position: StorePosition
 
 
 class ExpectedRevision(msgspec.Struct, frozen=True):
-    """A condition on one entry; revision 0 stands for "absent"."""
+    """A condition on one entry's revision; 0 means that the entry is absent."""
 
     key: str
     revision: int
 
 
 class PutItem(msgspec.Struct, frozen=True):
-    """One entry to write; it ends with its lease when one is given."""
+    """One entry to write; it is removed with its lease, unless ``lease_id`` is 0."""
 
     key: str
     value: bytes
@@ -55,9 +55,9 @@
 
 
 class StoreAnswer(msgspec.Struct, frozen=True):
-    """What the head of an answer says of the store itself.
+    """The state of the store from the head of an answer.
 
-    ``era`` rises by one each time that the store comes back from a copy; 0 where none is named.
+    ``era`` rises by one each time the store is restored from a backup; 0 if the answer has none.
     """
 
     status: int
@@ -69,41 +69,44 @@
 
 
 def ignore_answer(answer: StoreAnswer) -> None:
-    """Take no notice."""
+    """Ignore the answer."""
 
 
 class StoreLease(msgspec.Struct, frozen=True):
-    """A lease; after the store's return from a copy its id may be given to another."""
+    """A lease; its id is unique within an era only."""
 
     era: int
     lease_id: int
 
 
 class AsyncKeyValueStore(Protocol):
-    """The service as the router uses it."""
+    """The operations that the router uses."""
 
     async def list(self, prefix: str) -> StoreSnapshot | Failure:
         """Read every entry under a prefix."""
         ...
 
     async def watch(self, prefix: str, after_revision: int, wait_s: float) -> WatchBatch | Failure:
-        """Wait for changes; an empty batch after ``wait_s``. ``HISTORY_LOST``: list again."""
+        """Wait for changes; return an empty batch after ``wait_s``.
+
+        ``HISTORY_LOST`` if the changes are no longer stored: list again.
+        """
         ...
 
     async def transact(
         self, expected: Sequence[ExpectedRevision], puts: Sequence[PutItem]
     ) -> StorePosition | Failure:
-        """Write all if every condition holds; return where."""
+        """Write all entries if every condition holds; return the position of the write."""
         ...
 
     async def grant_lease(self, ttl_s: float) -> StoreLease | Failure:
-        """Open a lease."""
+        """Grant a lease."""
         ...
 
     async def renew_lease(self, lease: StoreLease) -> bool | Failure:
-        """Renew a lease; False when it is over, or its era is."""
+        """Renew a lease; False if the lease or its era has ended."""
         ...
 
     async def end_lease(self, lease: StoreLease) -> Failure | None:
-        """End a lease; its entries go."""
+        """Revoke a lease and remove its entries."""
         ...
--- a/winchfork/stores/etcd_json.py
+++ b/winchfork/stores/etcd_json.py
@@ -1,7 +1,7 @@
-"""Key-value adapter: the published JSON over HTTP form of the etcd v3 interface.
+"""Key-value adapter for the etcd v3 JSON gateway over HTTP.
 
-Subset used: kv range and txn (compare on mod_revision), lease grant and keepalive, watch. Keys and
-values travel in base64; 64-bit numbers travel as strings.
+Uses kv range and txn (compare on mod_revision), lease grant and keepalive, and watch. Keys and
+values are encoded in base64, 64-bit numbers as strings.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def _prefix_end(prefix: str) -> str:
-    """Return the first key after every key with this prefix, in base64."""
+    """Return, in base64, the first key after all keys with this prefix."""
     raw = prefix.encode()
     return _encode(raw[:-1] + bytes([raw[-1] + 1]))
 
@@ -39,12 +39,12 @@
 
 
 class EtcdJsonStore:
-    """Client of one service behind one or more endpoints; a failing endpoint is passed over."""
+    """Client of one service with one or more endpoints; moves to the next when a call fails."""
 
     def __init__(self, client: HttpClient, endpoints: Sequence[str]) -> None:
         self._client = client
         self._endpoints = list(endpoints)
-        self._turn = 0
+        self._endpoint_index = 0
         self._lock = threading.Lock()
 
     def get(self, key: str) -> Entry | None | Failure:
@@ -81,7 +81,7 @@
         return result if isinstance(result, Failure) else None
 
     def grant_lease(self, ttl_s: int) -> int | Failure:
-        """Open a lease and return its id."""
+        """Grant a lease and return its id."""
         body = self._call("/v3/lease/grant", {"TTL": str(ttl_s)})
         return body if isinstance(body, Failure) else int(body["ID"])
 
@@ -92,7 +92,7 @@
             return body
         ttl_s = int(body.get("result", {}).get("TTL", 0))
         if ttl_s <= 0:
-            return FailureKind.NOT_FOUND.because(f"lease {lease_id} has lapsed")
+            return FailureKind.NOT_FOUND.because(f"lease {lease_id} has expired")
         return ttl_s
 
     def watch(
@@ -102,7 +102,7 @@
         on_entry: Callable[[Entry], None],
         should_stop: Callable[[], bool],
     ) -> Failure | None:
-        """Hand over changes from a revision on, until stopped or the connection ends."""
+        """Pass changes since a revision to ``on_entry`` until stopped or disconnected."""
         create = {
             "create_request": {
                 "key": _encode(prefix),
@@ -160,12 +160,12 @@
         if body.get("succeeded"):
             return int(body["header"]["revision"])
         return FailureKind.REVISION_CONFLICT.because(
-            f"{key} is not at revision {expected_revision}", remedy="read it again and retry"
+            f"{key} is not at revision {expected_revision}", remedy="read the entry again and retry"
         )
 
     def _endpoint(self) -> str:
         with self._lock:
-            return self._endpoints[self._turn % len(self._endpoints)]
+            return self._endpoints[self._endpoint_index % len(self._endpoints)]
 
     def _call(self, path: str, body: dict[str, Any]) -> dict[str, Any] | Failure:
         request = HttpRequest(
@@ -174,10 +174,12 @@
         answer = self._client.exchange(request)
         if isinstance(answer, Failure):
             with self._lock:
-                self._turn += 1
+                self._endpoint_index += 1
             return FailureKind.STORE_UNAVAILABLE.because(answer.reason, ran=RunState.UNKNOWN)
         if answer.status == HTTP_TOO_MANY:
-            return FailureKind.STORE_RATE_LIMITED.because("the store is limiting this client")
+            return FailureKind.STORE_RATE_LIMITED.because(
+                "the store rejected the call: too many requests from this client"
+            )
         if answer.status != 200:
             return FailureKind.STORE_UNAVAILABLE.because(
                 f"the store answered {answer.status}", ran=RunState.UNKNOWN
--- a/winchfork/stores/key_value.py
+++ b/winchfork/stores/key_value.py
@@ -1,8 +1,8 @@
-"""The port to the platform's key-value service.
+"""The blocking port to the platform's key-value service.
 
-Revisions are the service's own: one counter, raised by every change; an entry carries the revision
-of its last change. 0 stands for "absent". Any call may fail, and a failed write may still have
-taken effect: ``STORE_UNAVAILABLE`` from a write says nothing about it.
+Every change raises one revision counter; an entry carries the revision of its last change, and
+revision 0 means that the entry is absent. A write that fails with ``STORE_UNAVAILABLE`` may still
+have taken effect.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class KeyValueStore(Protocol):
-    """The service as the product uses it. Thread-safe; calls block up to a second or two."""
+    """The operations that a daemon uses. Thread-safe; a call may block for a second or two."""
 
     def get(self, key: str) -> Entry | None | Failure:
         """Read one entry; None when absent."""
@@ -39,7 +39,8 @@
     ) -> int | Failure:
         """Write if the entry is at ``expected_revision``; return the new revision.
 
-        ``REVISION_CONFLICT`` when it is not; ``STORE_UNAVAILABLE`` when unknown.
+        Fails with ``REVISION_CONFLICT`` if the entry is at another revision, and with
+        ``STORE_UNAVAILABLE`` if the outcome is unknown.
         """
         ...
 
@@ -48,7 +49,7 @@
         ...
 
     def grant_lease(self, ttl_s: int) -> int | Failure:
-        """Open a lease and return its id; its entries vanish ``ttl_s`` after the last renewal."""
+        """Grant a lease and return its id; its entries expire ``ttl_s`` after the last renewal."""
         ...
 
     def renew_lease(self, lease_id: int) -> int | Failure:
@@ -62,7 +63,7 @@
         on_entry: Callable[[Entry], None],
         should_stop: Callable[[], bool],
     ) -> Failure | None:
-        """Hand over changes from a revision on, until stopped or the connection ends."""
+        """Pass changes since a revision to ``on_entry`` until stopped or disconnected."""
         ...
 
 
@@ -74,10 +75,11 @@
     is_own_write: Callable[[bytes], bool],
     should_retry: Callable[[], bool],
 ) -> int | Failure:
-    """Compare-and-swap whose lost answers are resolved by reading back.
+    """Compare-and-swap that reads the entry back to resolve a lost answer; return the revision.
 
-    ``is_ours`` recognizes a stored value that contains this write, including one that a later
-    writer built on top of it. Repeating the same swap is safe: it can take effect once only.
+    ``is_own_write`` recognizes a stored value that includes this write, also after a later writer
+    has changed it further. The swap is repeated while its outcome is unknown and ``should_retry``
+    allows it; this is safe, since the expected revision lets it take effect only once.
     """
     while True:
         result = store.compare_and_swap(key, value, expected_revision)
@@ -88,6 +90,6 @@
         entry = store.get(key)
         if isinstance(entry, Entry) and is_own_write(entry.value):
             return entry.revision
-        settled = not isinstance(entry, Failure) and result.kind is FailureKind.REVISION_CONFLICT
-        if settled or not should_retry():
+        is_final = not isinstance(entry, Failure) and result.kind is FailureKind.REVISION_CONFLICT
+        if is_final or not should_retry():
             return result
--- a/winchfork/stores/machine_list.py
+++ b/winchfork/stores/machine_list.py
@@ -1,4 +1,4 @@
-"""The port to the platform's lagging list of machines, with its JSON over HTTP adapter."""
+"""The port to the platform's list of machines, which may lag, and its JSON over HTTP adapter."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class MachineState(enum.Enum):
-    """What the platform says of a machine; the list lags, so it is never the only evidence."""
+    """A machine's state in the list; the list lags, so never rely on it alone."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Machine:
-    """One machine: ``pool`` names its back-end pool, or is empty for a router."""
+    """One machine; ``pool`` is its back-end pool, empty for a router."""
 
     machine_id: str
     pool: str
@@ -33,14 +33,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class MachineList:
-    """The list at one revision."""
+    """The machines at one revision of the list."""
 
     revision: int
     machines: tuple[Machine, ...]
 
 
 class MachineSource(Protocol):
-    """Reads the list."""
+    """Reads the list of machines."""
 
     def read(self, known_revision: int) -> MachineList | None | Failure:
         """Return the list, or None when it is still at ``known_revision``."""
