--- a/winchfork/control/configuration_writer.py
+++ b/winchfork/control/configuration_writer.py
@@ -1,7 +1,7 @@
-"""Accepts configurations: "accepted" means that the store has it, even if its answer was lost.
+"""Writes operators' configurations to the store; a write succeeds once the store holds it.
 
-The stored document carries the tokens of its newest writers, so that a writer whose answer was lost
-recognizes its own write, also when another operator has since built on it.
+The stored document lists a token of each of its latest writers. After a lost answer a writer finds
+its token there, even if another operator has changed the document since.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
         self._store = store
 
     def apply(self, configuration: Configuration, expected_revision: int) -> int | Failure:
-        """Store and put in force; return the revision."""
+        """Store a configuration and install it on this daemon; return its revision."""
         current = self._store.get(CONFIGURATION_KEY)
         if isinstance(current, Failure):
             return current.with_run_state(RunState.NOT_RUN)
@@ -39,12 +39,12 @@
         if revision != expected_revision:
             return FailureKind.REVISION_CONFLICT.because(
                 f"the configuration is at revision {revision}, not {expected_revision}",
-                remedy="get it, merge your change, and apply with that revision",
+                remedy="get the current one, merge your change and apply it with that revision",
             )
         return self._write(configuration, current)
 
     def set_draining(self, replica_id: str, draining: bool) -> int | Failure:
-        """Add or take off one replica, whatever else operators change meanwhile."""
+        """Mark one replica as draining or not; retry when another operator's write comes first."""
         while True:
             current = self._store.get(CONFIGURATION_KEY)
             if isinstance(current, Failure):
@@ -72,7 +72,7 @@
         ).encode()
         deadline_s = boot_seconds() + _RESOLVE_TIMEOUT_S
 
-        def keep_trying() -> bool:
+        def should_retry() -> bool:
             time.sleep(_RETRY_PAUSE_S)
             return boot_seconds() < deadline_s
 
@@ -82,7 +82,7 @@
             text,
             current.revision if current else 0,
             lambda value: token in json.loads(value)["writers"],
-            keep_trying,
+            should_retry,
         )
         if isinstance(result, Failure):
             return result
--- a/winchfork/control/convert.py
+++ b/winchfork/control/convert.py
@@ -1,4 +1,4 @@
-"""Converts configurations between the RPC messages and the checked objects."""
+"""Converts configurations between RPC messages, JSON and validated objects."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def configuration_from_message(message: pb.Configuration) -> Configuration | Failure:
-    """Check a configuration message; the failure names the field."""
+    """Validate a configuration message; the failure names the invalid field."""
     document = json_format.MessageToDict(message, preserving_proto_field_name=True)
     for pool in document.get("pools", ()):
         pool["repeatable"] = not pool.pop("not_repeatable", False)
@@ -21,12 +21,13 @@
         return Configuration.model_validate(document)
     except pydantic.ValidationError as error:
         return FailureKind.INVALID_CONFIGURATION.because(
-            describe_validation_error(error), remedy="correct the field and apply again"
+            describe_validation_error(error),
+            remedy="correct the field and apply the configuration again",
         )
 
 
 def configuration_to_message(configuration: Configuration) -> pb.Configuration:
-    """Return the message of a checked configuration."""
+    """Return a validated configuration as a message."""
     document = configuration.model_dump(mode="json", exclude_none=True)
     for pool in document["pools"]:
         pool["not_repeatable"] = not pool.pop("repeatable")
@@ -34,15 +35,16 @@
 
 
 def configuration_message_from_json(text: str) -> pb.Configuration | Failure:
-    """Read an operator's JSON document; unknown fields are refused by name."""
+    """Parse an operator's JSON document; the failure names an unknown field."""
     try:
         return json_format.Parse(text, pb.Configuration())
     except json_format.ParseError as error:
         return FailureKind.INVALID_CONFIGURATION.because(
-            f"the document cannot be read: {error}", remedy="correct it and apply again"
+            f"the document cannot be read: {error}",
+            remedy="correct the document and apply it again",
         )
 
 
 def configuration_message_to_document(message: pb.Configuration) -> dict[str, Any]:
-    """Return the JSON document of a configuration message."""
+    """Return a configuration message as a JSON document."""
     return json_format.MessageToDict(message, preserving_proto_field_name=True)
--- a/winchfork/control/leader.py
+++ b/winchfork/control/leader.py
@@ -1,8 +1,8 @@
-"""A leased, fenced leadership for duties that only one daemon should do at a time.
+"""Leader election with a lease and a fencing token, for tasks that one daemon performs at a time.
 
-The lease keeps the store from naming two leaders; the fence protects what a paused leader may still
-do: it is the revision at which the leadership was taken, it only grows, and engines refuse an order
-with a lower one. A leader that cannot renew in time stops by its own clock before the lease ends.
+The lease limits the store to one leader. The fencing token is the revision at which the leadership
+was acquired; it only grows, and engines refuse orders with a lower one, so that a paused leader
+cannot interfere with its successor. A leader that cannot renew stops before its lease ends.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 LEASE_S = 6
 #: The leader stops this long before its lease can end.
-_SAFETY_S = 2.0
+_SAFETY_MARGIN_S = 2.0
 
 
 class Leadership:
-    """One daemon's try at a leadership; call :meth:`hold` before each step of the duty."""
+    """One daemon's candidacy; call :meth:`acquire_or_renew` before each step of the task."""
 
     def __init__(
         self,
@@ -38,19 +38,19 @@
         self._valid_until_s = 0.0
 
     def acquire_or_renew(self) -> int:
-        """Take or renew the leadership; return the fence, or 0 when this daemon does not lead."""
-        asked_at_s = self._clock()
-        if self._fence and asked_at_s < self._valid_until_s:
+        """Acquire or renew the leadership; return the fencing token, or 0 if not the leader."""
+        sent_at_s = self._clock()
+        if self._fence and sent_at_s < self._valid_until_s:
             renewed = self._store.renew_lease(self._lease_id)
             if not isinstance(renewed, Failure):
-                # Valid from before the question, so that a slow answer cannot stretch it.
-                self._valid_until_s = asked_at_s + LEASE_S - _SAFETY_S
+                # Counted from before the call, so that a slow answer does not extend it.
+                self._valid_until_s = sent_at_s + LEASE_S - _SAFETY_MARGIN_S
             return self._fence if self._clock() < self._valid_until_s else self._lose()
         self._lose()
         return self._acquire()
 
     def still_valid(self) -> bool:
-        """Tell, without I/O, whether the leadership is surely held; ask before each order."""
+        """Return, without I/O, whether the lease is still valid; check before each order."""
         return self._fence != 0 and self._clock() < self._valid_until_s
 
     def _lose(self) -> int:
@@ -60,7 +60,7 @@
         return 0
 
     def _acquire(self) -> int:
-        asked_at_s = self._clock()
+        sent_at_s = self._clock()
         held = self._store.get(self._key)
         if isinstance(held, (Failure, Entry)):
             return 0
@@ -69,10 +69,10 @@
             return 0
         taken = self._store.compare_and_swap(self._key, self._own_id.encode(), 0, lease_id)
         if isinstance(taken, Failure):
-            # If it took effect and the answer was lost, the lease runs out by itself.
+            # If the write took effect nevertheless, its lease expires.
             return 0
         self._lease_id = lease_id
         self._fence = taken
-        self._valid_until_s = asked_at_s + LEASE_S - _SAFETY_S
+        self._valid_until_s = sent_at_s + LEASE_S - _SAFETY_MARGIN_S
         log_event("leadership_taken", key=self._key, fence=taken)
         return taken if self.still_valid() else 0
--- a/winchfork/control/rollout.py
+++ b/winchfork/control/rollout.py
@@ -1,8 +1,8 @@
-"""Rollouts of weights over a pool: target state in the store, carried out by the fenced leader.
+"""Rollouts of weights over a pool: the store holds the targets, the leader carries them out.
 
-Each pass compares the target version with what each replica reports. A replica is drained (it gets
-no new work while it is loading), ordered to load under the leader's fence, and then takes work
-again; at most ``max_loading`` do so at once, which is how the weight store's rate is kept.
+Each pass compares the target version with the one that each replica reports. A replica that is
+behind is drained, ordered to load the weights under the leader's fencing token, and returned to
+service. At most ``max_loading`` replicas load at once, which limits the load on the weight store.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 _PREFIX = "/winchfork/rollouts/"
 _LEADER_KEY = "/winchfork/leaders/rollout"
 _RECONCILE_PERIOD_S = 0.5
-_LOADERS = 16
-#: A replica with running work is waited for this long before it is ordered to load.
+_LOADER_THREADS = 16
+#: Maximum wait for a replica's running requests before it is ordered to load.
 _DRAIN_TIMEOUT_S = 20.0
 
 
 @dataclasses.dataclass(frozen=True)
 class RolloutTarget:
-    """What operators asked for."""
+    """A rollout as operators ordered it."""
 
     pool: str
     weights_version: int
@@ -40,7 +40,7 @@
 
 
 class RolloutManager:
-    """Records rollouts and, on the leading daemon, carries them out."""
+    """Records rollouts and carries them out on the daemon that is the leader."""
 
     def __init__(self, node: PeerNode, store: KeyValueStore, engine: EnginePort) -> None:
         self._node = node
@@ -48,12 +48,12 @@
         self._engine = engine
         self._leadership = Leadership(store, _LEADER_KEY, node.state.own_id)
         self._stopping = threading.Event()
-        self._loaders = ThreadPoolExecutor(_LOADERS, thread_name_prefix="rollout")
+        self._loaders = ThreadPoolExecutor(_LOADER_THREADS, thread_name_prefix="rollout")
         self._loading: dict[str, Future[None]] = {}
         self._fence = 0
 
     def start(self, pool: str, weights_version: int, max_loading: int) -> pb.RolloutReply | Failure:
-        """Record a target; a lower version than the recorded one is refused."""
+        """Record a target; refuse a version lower than the recorded one."""
         with self._node.state.lock:
             known = pool in self._node.state.configuration.current.pools
         if not known:
@@ -63,8 +63,8 @@
             return current
         if current is not None and json.loads(current.value)["weights_version"] > weights_version:
             return FailureKind.REVISION_CONFLICT.because(
-                f"pool {pool} is already being rolled to a newer version",
-                remedy="roll forward with a higher version number",
+                f"pool {pool} already has a rollout to a newer version",
+                remedy="start the rollout with a higher version number",
             )
         target = RolloutTarget(pool, weights_version, max_loading)
         text = json.dumps(dataclasses.asdict(target)).encode()
@@ -90,11 +90,11 @@
         return self._describe(RolloutTarget(**json.loads(entry.value)))
 
     def run(self) -> None:
-        """Reconcile until stopped; the body of one thread."""
+        """Reconcile until stopped; runs on a thread of its own."""
         while not self._stopping.wait(_RECONCILE_PERIOD_S):
             try:
                 self._reconcile()
-            except Exception as error:  # noqa: BLE001 - a surprise must not end the duty
+            except Exception as error:  # noqa: BLE001 - the thread has to survive any error
                 log_event("rollout_pass_failed", "ERROR", error=repr(error))
 
     def stop(self) -> None:
@@ -122,8 +122,8 @@
             if not _has_target_version(replica, target)
         ]
         for replica in pending:
-            running = self._loading.get(replica.replica_id)
-            if running is not None and not running.done():
+            load = self._loading.get(replica.replica_id)
+            if load is not None and not load.done():
                 continue
             active = sum(1 for future in self._loading.values() if not future.done())
             if active >= target.max_loading or not self._leadership.still_valid():
@@ -139,7 +139,7 @@
         return sorted(found, key=lambda replica: replica.replica_id)
 
     def _load(self, replica: Replica, target: RolloutTarget, fence: int) -> None:
-        """Take one replica through drain, load and return; every order carries the fence."""
+        """Drain one replica, load the weights and return it to service; orders carry ``fence``."""
         drained = self._engine.order(
             replica.address, EngineOrder(OrderKind.SET_ROLE, fence, role="draining")
         )
@@ -179,7 +179,7 @@
         replicas = self._replicas(target)
         loading = {replica_id for replica_id, future in self._loading.items() if not future.done()}
         done = [replica.replica_id for replica in replicas if _has_target_version(replica, target)]
-        rest = [
+        remaining = [
             replica.replica_id for replica in replicas if not _has_target_version(replica, target)
         ]
         return pb.RolloutReply(
@@ -187,8 +187,8 @@
             weights_version=target.weights_version,
             max_loading=target.max_loading,
             done=done,
-            loading=[name for name in rest if name in loading],
-            pending=[name for name in rest if name not in loading],
+            loading=[name for name in remaining if name in loading],
+            pending=[name for name in remaining if name not in loading],
             fence=self._fence,
         )
 
--- a/winchfork/control/rpc_client.py
+++ b/winchfork/control/rpc_client.py
@@ -1,4 +1,4 @@
-"""An operator's client of the RPC service; failures come back typed."""
+"""Operators' client of the RPC service; errors are returned as ``Failure``."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class OperatorClient:
-    """Calls one daemon. ``certificate`` is a PEM root for TLS, or None for plain text."""
+    """Calls one daemon. ``certificate`` is a PEM root certificate; None disables TLS."""
 
     def __init__(self, address: str, token: str, certificate: bytes | None = None) -> None:
         self._address = address
@@ -38,18 +38,18 @@
     def apply_configuration(
         self, configuration: pb.Configuration, expected_revision: int
     ) -> pb.ConfigurationReply | Failure:
-        """Apply a configuration on top of a revision."""
+        """Apply a configuration that is based on ``expected_revision``."""
         request = pb.ApplyConfigurationRequest(
             configuration=configuration, expected_revision=expected_revision
         )
         return self._call(self._stub.ApplyConfiguration, request)
 
     def get_configuration(self) -> pb.ConfigurationReply | Failure:
-        """Return the configuration in force at the daemon."""
+        """Return the daemon's current configuration."""
         return self._call(self._stub.GetConfiguration, pb.GetConfigurationRequest())
 
     def set_draining(self, replica_id: str, draining: bool) -> pb.ConfigurationReply | Failure:
-        """Drain a back end or give it work again."""
+        """Drain a back end or return it to service."""
         request = pb.SetDrainingRequest(replica_id=replica_id, draining=draining)
         return self._call(self._stub.SetDraining, request)
 
@@ -58,7 +58,7 @@
         return self._call(self._stub.GetStatus, pb.GetStatusRequest())
 
     def explain(self, request_id: str) -> pb.ExplainReply | Failure:
-        """Return the decisions about a request."""
+        """Return the routing decisions about a request."""
         return self._call(self._stub.Explain, pb.ExplainRequest(request_id=request_id))
 
     def start_rollout(
--- a/winchfork/control/rpc_server.py
+++ b/winchfork/control/rpc_server.py
@@ -1,4 +1,4 @@
-"""The operators' gRPC service on one daemon."""
+"""A daemon's gRPC service for operators."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class _TokenCheck(grpc.ServerInterceptor):
-    """Lets only operators in: metadata ``authorization: Bearer TOKEN``."""
+    """Rejects calls without an operator's token in ``authorization: Bearer TOKEN``."""
 
     def __init__(self, token_hashes: tuple[str, ...]) -> None:
         self._hashes = token_hashes
@@ -52,14 +52,14 @@
     def intercept_service(
         self, continuation: Callable[[Any], Any], handler_call_details: Any
     ) -> Any:
-        """Pass authorized calls on."""
+        """Handle authorized calls; abort all others as unauthenticated."""
         metadata = dict(handler_call_details.invocation_metadata)
         token = str(metadata.get("authorization", "")).removeprefix("Bearer ")
         digest = hash_api_key(token)
         if any(hmac.compare_digest(digest, known) for known in self._hashes):
             return continuation(handler_call_details)
         failure = FailureKind.UNAUTHENTICATED.because(
-            "no operator has this token", remedy="pass --token or WINCHFORK_TOKEN"
+            "the operator token is missing or unknown", remedy="pass --token or WINCHFORK_TOKEN"
         )
         return grpc.unary_unary_rpc_method_handler(
             lambda request, context: _abort(context, failure)
@@ -80,7 +80,7 @@
     def ApplyConfiguration(  # noqa: N802 - the schema's name
         self, request: pb.ApplyConfigurationRequest, context: grpc.ServicerContext
     ) -> pb.ConfigurationReply:
-        """Check, store and put in force."""
+        """Validate, store and install a configuration."""
         configuration = configuration_from_message(request.configuration)
         if isinstance(configuration, Failure):
             _abort(context, configuration)
@@ -93,13 +93,13 @@
     def GetConfiguration(  # noqa: N802
         self, request: pb.GetConfigurationRequest, context: grpc.ServicerContext
     ) -> pb.ConfigurationReply:
-        """Return what is in force here."""
+        """Return this daemon's current configuration."""
         return self._configuration()
 
     def WatchConfiguration(  # noqa: N802
         self, request: pb.GetConfigurationRequest, context: grpc.ServicerContext
     ) -> Iterator[pb.ConfigurationReply]:
-        """Send each configuration as it comes into force."""
+        """Send the current configuration and each later one."""
         sent = -1
         ended = threading.Event()
         context.add_callback(ended.set)
@@ -113,7 +113,7 @@
     def SetDraining(  # noqa: N802
         self, request: pb.SetDrainingRequest, context: grpc.ServicerContext
     ) -> pb.ConfigurationReply:
-        """Drain a back end or give it work again."""
+        """Drain a back end or return it to service."""
         with self._state.lock:
             known = self._state.fleet.get(request.replica_id) is not None
         if not known:
@@ -132,7 +132,7 @@
     def GetStatus(  # noqa: N802
         self, request: pb.GetStatusRequest, context: grpc.ServicerContext
     ) -> pb.StatusReply:
-        """Describe the fleet as this daemon sees it."""
+        """Return this daemon's view of the fleet."""
         state = self._state
         with state.lock:
             return pb.StatusReply(
@@ -185,7 +185,7 @@
     def Explain(  # noqa: N802
         self, request: pb.ExplainRequest, context: grpc.ServicerContext
     ) -> pb.ExplainReply:
-        """Find a request's decisions here or at the daemon that its id names."""
+        """Return a request's decisions from this daemon or the one that the request id names."""
         steps = self._node.explain_locally(request.request_id)
         if steps:
             return _explanation(self._state.own_id, steps)
@@ -202,8 +202,8 @@
         _abort(
             context,
             FailureKind.NOT_FOUND.because(
-                f"no daemon knows request {request.request_id!r}",
-                remedy="each daemon keeps its newest requests, until it restarts",
+                f"no decisions are known for request {request.request_id!r}",
+                remedy="check the id; a daemon keeps only its latest requests, until it restarts",
             ),
         )
 
@@ -262,9 +262,9 @@
             self.port = self._server.add_secure_port(settings.daemon.rpc_address, credentials)
 
     def start(self) -> None:
-        """Serve on threads of its own."""
+        """Start serving on background threads."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop with a short grace period for running calls."""
         self._server.stop(grace=0.2)
