--- a/winchfork/__main__.py
+++ b/winchfork/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of `python -m winchfork`."""
+"""Entry point of ``python -m winchfork``."""
 
 import sys
 
--- a/winchfork/boot_clock.py
+++ b/winchfork/boot_clock.py
@@ -1,18 +1,17 @@
-"""Monotonic seconds that count a suspension of the machine.
+"""A monotonic clock in seconds that includes the time while the machine is suspended.
 
-``CLOCK_MONOTONIC`` stands still while a machine is suspended: a daemon that was asleep for five
-seconds would take its lease, its proofs, its bounds and its peers' news for five seconds younger
-than they are.
+``CLOCK_MONOTONIC`` stops during a suspension, so that leases and reports from peers would appear
+younger than they are afterwards.
 """
 
 from __future__ import annotations
 
 import time
 
-#: Systems without this clock do not tell a suspension apart.
+#: Without ``CLOCK_BOOTTIME``, time in suspension is not counted.
 CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 def boot_seconds() -> float:
-    """Return the seconds since the machine was started, suspensions included."""
+    """Return the seconds since the machine started, including suspensions."""
     return time.clock_gettime(CLOCK)
--- a/winchfork/constants.py
+++ b/winchfork/constants.py
@@ -1,15 +1,15 @@
-"""Named constants of the daemon, with the unit in each name."""
+"""Constants of the daemon; each name ends in its unit where it has one."""
 
 from typing import Final
 
-# Prompt blocks. Engines keep cache in pieces of about a thousand tokens.
+# Prompt blocks.
 BLOCK_TOKENS: Final = 1024
 BYTES_PER_TOKEN: Final = 4
 BLOCK_BYTES: Final = BLOCK_TOKENS * BYTES_PER_TOKEN
-#: Chain depth, in blocks, whose key names a prefix family (one owner daemon a family).
+#: Prompts that share this many leading blocks form a prefix family with one owner daemon.
 FAMILY_DEPTH_BLOCKS: Final = 2
 
-# Callers' interface limits.
+# Limits of the callers' interface.
 MAX_BODY_BYTES: Final = 8 * 1024 * 1024
 MAX_HEADER_VALUE_BYTES: Final = 512
 MAX_OUTPUT_TOKENS: Final = 16_384
--- a/winchfork/daemon.py
+++ b/winchfork/daemon.py
@@ -1,4 +1,4 @@
-"""One daemon: wires the core, the cluster duties, and the interfaces together."""
+"""Assembles a daemon from the core, the cluster tasks and the interfaces."""
 
 from __future__ import annotations
 
@@ -42,12 +42,12 @@
 
 
 class Daemon:
-    """Built by :func:`build_daemon`; :meth:`start`, then :meth:`stop`."""
+    """A running daemon. Build it with :func:`build_daemon`, then call :meth:`start`."""
 
     def __init__(self, settings: Settings, cluster_key: bytes) -> None:
         self.settings = settings
         incarnation = int(time.time() * 1000)
-        # Probe order and fan-out only; a seed of its own keeps daemons from acting in step.
+        # For probe order and fan-out; a seed per daemon keeps daemons from acting in lockstep.
         generator = random.Random(f"{settings.daemon.id}:{incarnation}")
         self._client = HttpClient()
         self._platform_client = HttpClient()
@@ -87,17 +87,17 @@
 
     @property
     def http_address(self) -> str:
-        """The bound callers' address."""
+        """The bound address of the callers' interface."""
         return self._http.address
 
     @property
     def rpc_address(self) -> str:
-        """The bound operators' address."""
+        """The bound address of the operators' interface."""
         return f"{self.settings.daemon.rpc_address.rpartition(':')[0]}:{self._rpc.port}"
 
     def start(self) -> None:
-        """Serve at once; everything else is learned while serving."""
-        for duty in (
+        """Start all tasks and interfaces; the configuration and peers are loaded while serving."""
+        for task in (
             self.node.run_receiver,
             self.node.run_ticks,
             self._reader.run,
@@ -105,7 +105,7 @@
             self._rollouts.run,
             self._waiting.run,
         ):
-            self._background_tasks.submit(duty)
+            self._background_tasks.submit(task)
         self._sync.start()
         self._rpc.start()
         self._http.start()
@@ -119,7 +119,7 @@
         )
 
     def stop(self) -> None:
-        """Planned stop: no new work, every running request finishes, peers are told."""
+        """Stop as planned: refuse new requests, finish running ones and notify peers."""
         log_event("daemon_stopping", id=self.settings.daemon.id)
         self.state.stopping = True
         self._http.stop(wait=True)
@@ -136,7 +136,7 @@
         log_event("daemon_stopped", id=self.settings.daemon.id)
 
     def stop_at_once(self) -> None:
-        """Unplanned stop, for tests in one process: nothing is finished and nobody is told."""
+        """Simulate a crash in tests: finish no request and notify no peer."""
         self.state.stopping = True
         self._reader.stop()
         self._panels.stop()
@@ -151,13 +151,13 @@
         self._platform_client.close()
 
     def wait_until_stopped(self, stop_requested: threading.Event) -> None:
-        """Block until a stop is requested, then stop as planned."""
+        """Block until a stop is requested, then call :meth:`stop`."""
         stop_requested.wait()
         self.stop()
 
 
 def build_daemon(settings: Settings) -> Daemon | Failure:
-    """Build a daemon; the failure names what could not be read or bound."""
+    """Build a daemon; the failure names the setting, file or address at fault."""
     key = settings.cluster_key_bytes()
     if isinstance(key, Failure):
         return key
@@ -173,7 +173,7 @@
         return Daemon(settings, key)
     except (OSError, ssl.SSLError, SystemExit) as error:
         return FailureKind.INVALID_SETTINGS.because(
-            f"the daemon cannot listen: {error}", remedy="check the addresses and the tls files"
+            f"the daemon cannot listen: {error}", remedy="check the addresses and the TLS files"
         )
 
 
--- a/winchfork/early_stop.py
+++ b/winchfork/early_stop.py
@@ -1,7 +1,7 @@
-"""The first moments of a process: when it began, and an end as planned if it is asked to stop.
+"""Records the start time of the process and handles SIGTERM while it is still starting.
 
-Imported first: the imports that follow take some tenths of a second, on a busy machine seconds, in
-which SIGTERM would end the process by the signal. Nothing is being served by then.
+Import this module first: other imports may take seconds on a busy machine. A SIGTERM in that time
+ends the process with status 0; nothing is being served yet.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 from winchfork.boot_clock import boot_seconds
 
-#: When this process began, by its router's clock.
+#: Start time of this process, as :func:`boot_seconds`.
 STARTED_AT_S = boot_seconds()
 
 
-def _end(number: int, frame: FrameType | None) -> None:
+def _exit(number: int, frame: FrameType | None) -> None:
     sys.exit(0)
 
 
-signal.signal(signal.SIGTERM, _end)
+signal.signal(signal.SIGTERM, _exit)
--- a/winchfork/errors.py
+++ b/winchfork/errors.py
@@ -1,7 +1,7 @@
-"""Typed failures: every failure is a sentinel kind with a reason, never a bare string.
+"""Typed failures with a kind, a reason, a remedy and whether the request ran.
 
-Functions that may fail return ``T | Failure``; the caller tests with ``isinstance``. Exceptions are
-left to programming errors and to the libraries.
+Functions that may fail return ``T | Failure``; callers check with ``isinstance``. Exceptions are
+for programming errors, and come from libraries.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class RunState(enum.Enum):
-    """Whether the request that failed was executed by a back end."""
+    """Whether a back end executed the failed request."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
@@ -20,7 +20,7 @@
 
 
 class FailureKind(enum.Enum):
-    """Every failure the product can report; the value is the stable wire code."""
+    """All kinds of failures; the values are stable codes on the wire."""
 
     INVALID_REQUEST = "invalid_request"
     INVALID_SETTINGS = "invalid_settings"
@@ -66,10 +66,10 @@
         ran: RunState | None = None,
         retry_after_s: float | None = None,
     ) -> Failure:
-        """Build a failure of this kind; ``reason`` says what happened, ``remedy`` what to do.
+        """Build a failure of this kind; ``reason`` is the cause, ``remedy`` what the reader can do.
 
-        Without ``ran``, a kind that arises before execution says "not run" and every other kind
-        says "unknown": "not run" is a promise and must never be a default by omission.
+        ``ran`` defaults to ``NOT_RUN`` for kinds that can only arise before execution, and to
+        ``UNKNOWN`` for all others, since a request that did not run may be repeated safely.
         """
         if ran is None:
             ran = RunState.NOT_RUN if self in _BEFORE_EXECUTION else RunState.UNKNOWN
@@ -103,9 +103,9 @@
 
 
 class Failure(msgspec.Struct, frozen=True):
-    """One failure: its kind, why, what the reader can do, and whether the request ran.
+    """One failure; ``ran`` states whether the request was executed.
 
-    ``retry_after_s`` is a hint in seconds, or None when a retry will not help by itself.
+    ``retry_after_s`` is the suggested wait before a retry; None if a retry alone does not help.
     """
 
     kind: FailureKind
--- a/winchfork/logs.py
+++ b/winchfork/logs.py
@@ -1,7 +1,7 @@
-"""Structured logs: one line of key=value pairs for each event.
+"""Structured logs: one line of key=value pairs per event.
 
-Values come from callers (headers, prompts, tenant names), so every value is escaped: no value can
-add a line, a pair or a terminal control sequence of its own.
+Every value is escaped, because values may come from callers: none can inject a line, another pair
+or a terminal control sequence.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def escape_value(value: object) -> str:
-    """Render one value: plain tokens as they are, everything else as an ASCII JSON string."""
+    """Render one value: plain tokens unchanged, everything else as an ASCII JSON string."""
     if isinstance(value, float):
         value = f"{value:.6g}"
     text = str(value)
@@ -40,7 +40,7 @@
 def configure_logs(level: str, stream: TextIO | Callable[[str], None] | None = None) -> None:
     """Send events at ``level`` and above to ``stream`` (standard error by default).
 
-    A callable takes each line itself, and must not wait for a reader.
+    A callable receives each line and must not block.
     """
     logger.remove()
     logger.add(
@@ -53,5 +53,5 @@
 
 
 def log_event(event: str, level: str = "INFO", **fields: Any) -> None:
-    """Log one event; ``fields`` become key=value pairs in the order given."""
+    """Log one event; ``fields`` become key=value pairs in the given order."""
     logger.opt(depth=1).log(level, "{}", format_event(event, fields))
--- a/winchfork/settings.py
+++ b/winchfork/settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings: a TOML file checked by pydantic; flags override it."""
+"""The daemon's settings: a TOML file, validated by pydantic; command-line flags override it."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     parts = host.split(".")
     numeric = len(parts) == 4 and all(part.isdigit() and int(part) < 256 for part in parts)
     if not separator or not numeric or not port.isdigit() or int(port) > 65_535:
-        raise ValueError("must be an IP number and a port, such as 127.0.0.1:8080")
+        raise ValueError("must be an IP address and a port, such as 127.0.0.1:8080")
     return value
 
 
@@ -36,7 +36,7 @@
 
 
 class DaemonSettings(_Section):
-    """Who this daemon is and where it listens."""
+    """The daemon's identity, addresses, keys and policy."""
 
     id: Name
     zone: Name
@@ -73,14 +73,14 @@
 
 
 class PlatformSettings(_Section):
-    """Where the platform's services are."""
+    """Addresses of the platform's services."""
 
     key_value_endpoints: Annotated[tuple[str, ...], pydantic.Field(min_length=1)]
     machine_list_url: str
 
 
 class LimitSettings(_Section):
-    """Bounds of this daemon."""
+    """Limits on threads and requests of this daemon."""
 
     workers: Annotated[int, pydantic.Field(ge=4, le=4096)] = 256
     max_open_requests: Annotated[int, pydantic.Field(ge=1, le=4096)] = 200
@@ -88,7 +88,7 @@
 
 
 class ClaimSettings(_Section):
-    """Margins of the at-most-once claims, in seconds, and voters in a panel."""
+    """Times of the at-most-once claims, in seconds, and the number of voters in a panel."""
 
     voters: Annotated[int, pydantic.Field(ge=1, le=5)] = CLAIM_VOTERS
     future_margin_s: Annotated[float, pydantic.Field(gt=0, le=60)] = CLAIM_FUTURE_MARGIN_S
@@ -103,14 +103,14 @@
 
 
 class TlsSettings(_Section):
-    """Certificate and key, in PEM files, for the callers' and the operators' interface."""
+    """PEM files of the certificate and key for the callers' and the operators' interface."""
 
     certificate_file: str
     key_file: str
 
 
 class Settings(_Section):
-    """Everything a daemon is started with."""
+    """All settings of a daemon."""
 
     daemon: DaemonSettings
     platform: PlatformSettings
@@ -119,7 +119,7 @@
     tls: TlsSettings | None = None
 
     def cluster_key_bytes(self) -> bytes | Failure:
-        """Return the peers' shared key."""
+        """Return the key that all peers share, from the settings or the key file."""
         if self.daemon.cluster_key is not None:
             return self.daemon.cluster_key.encode()
         path = str(self.daemon.cluster_key_file)
@@ -132,7 +132,7 @@
             )
         if len(key) < 16:
             return FailureKind.INVALID_SETTINGS.because(
-                f"daemon.cluster_key_file: {path} holds {len(key)} bytes",
+                f"daemon.cluster_key_file: {path} has only {len(key)} bytes",
                 remedy="use at least 16 random bytes",
             )
         return key
@@ -148,7 +148,7 @@
         )
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         return FailureKind.INVALID_SETTINGS.because(
-            f"{path} is not TOML: {error}", remedy="correct the syntax at that place"
+            f"{path} is not TOML: {error}", remedy="correct the syntax there"
         )
     for name, value in overrides.items():
         section, _, key = name.partition(".")
