--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""A failure says "not run" only where nothing can have run."""
+"""The default run state of a failure: "not run" only where the request cannot have run."""
 
 from __future__ import annotations
 
--- a/tests/test_free_ports.py
+++ b/tests/test_free_ports.py
@@ -1,8 +1,4 @@
-"""Ports for listeners that are named before they are bound.
-
-A router of a play never became ready: of its three listeners one was bound. Both its ports had been
-drawn, free and equal, before either was bound.
-"""
+"""Guards against two listeners that are given the same free port."""
 
 from __future__ import annotations
 
@@ -13,7 +9,7 @@
 
 
 class FreePortsTest(unittest.TestCase):
-    def test_ports_that_are_named_together_differ(self) -> None:
-        drawn = iter([20_101, 20_101, 20_101, 20_102])
-        with mock.patch.object(free_ports, "free_port", lambda ip: next(drawn)):
+    def test_ports_of_one_call_differ(self) -> None:
+        candidates = iter([20_101, 20_101, 20_101, 20_102])
+        with mock.patch.object(free_ports, "free_port", lambda ip: next(candidates)):
             self.assertEqual(free_ports.free_ports(2), [20_101, 20_102])
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -1,4 +1,4 @@
-"""The operator's documents and the replicas' entries, as the platform's pages show them."""
+"""Decoding of operators' documents and replicas' entries in the platform's format."""
 
 from __future__ import annotations
 
@@ -100,7 +100,7 @@
 
 
 class DocumentsTest(unittest.TestCase):
-    def test_the_configuration_of_the_pages(self) -> None:
+    def test_a_full_configuration_is_decoded(self) -> None:
         table = read("op/config", CONFIGURATION)
         assert isinstance(table, RoutingTable)
         first, second = table.routes
@@ -121,7 +121,7 @@
         self.assertTrue(tenant.isolated)
         self.assertEqual(table.limits.idle_timeout_s, 15.0)
 
-    def test_a_replica_that_drains_takes_no_work(self) -> None:
+    def test_a_draining_replica_does_not_accept_work(self) -> None:
         ready = read("servers/i-1", REPLICA)
         draining = read("servers/i-1", {**REPLICA, "State": "draining"})
         assert isinstance(ready, ReplicaListing) and isinstance(draining, ReplicaListing)
@@ -130,22 +130,22 @@
         self.assertEqual(ready.versions, {"daka510000": 1})
         self.assertEqual(read("servers/i-1", None), ReplicaRemoved("i-1"))
 
-    def test_a_heartbeat_changes_nothing(self) -> None:
+    def test_a_new_sequence_number_alone_gives_an_equal_listing(self) -> None:
         self.assertEqual(
             read("servers/i-1", REPLICA), read("servers/i-1", {**REPLICA, "Sequence": 9})
         )
 
-    def test_named_weights(self) -> None:
+    def test_a_weights_target_is_decoded(self) -> None:
         self.assertEqual(
             read("op/version/daka510000", {"Model": "daka510000", "Version": 2}),
             WeightsTarget("daka510000", 2),
         )
 
-    def test_other_entries_are_none_of_the_routers(self) -> None:
+    def test_unrelated_and_removed_entries_are_ignored(self) -> None:
         self.assertIsNone(read("winchfork/leader", b"n1"))
         self.assertIsNone(read("op/config", None))
 
-    def test_malformed_documents_are_typed_and_name_the_place(self) -> None:
+    def test_malformed_documents_are_failures_that_name_the_key(self) -> None:
         broken = json.loads(json.dumps(CONFIGURATION))
         del broken["Routes"][0]["Host"]
         for key, value in (
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -1,4 +1,4 @@
-"""Header names of the platform to the router's fields, and back."""
+"""Translation between the platform's headers and the router's fields."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 
 class HeadersTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.dialect = PlatformHeaderCodec()
+        self.codec = PlatformHeaderCodec()
 
-    def test_a_request_of_the_pages(self) -> None:
-        fields = self.dialect.read_request(REQUEST)
+    def test_a_full_request_is_read(self) -> None:
+        fields = self.codec.read_request(REQUEST)
         assert not isinstance(fields, Failure) and fields.prompt is not None
         self.assertEqual(fields.request_id, "9c41d07be2a35f68")
         self.assertEqual((fields.deadline_s, fields.resume_after), (10.0, 12))
         self.assertEqual(fields.prompt.parts[0], PromptPart("5c1e07a2", 800))
         self.assertEqual((fields.prompt.prompt_tokens, fields.prompt.output_tokens), (1460, 80))
 
-    def test_bad_requests_name_the_header(self) -> None:
+    def test_invalid_requests_are_failures_that_name_the_header(self) -> None:
         for name, value in (
             (b"X-Request-Id", b""),
             (b"X-Deadline-Ms", b"soon"),
@@ -45,12 +45,12 @@
             (b"X-Prefix-Hash", b"5c1e07a2"),
         ):
             headers = [pair for pair in REQUEST if pair[0] != name] + [(name, value)]
-            problem = self.dialect.read_request(headers)
+            problem = self.codec.read_request(headers)
             assert isinstance(problem, Failure), name
             self.assertIn(name.decode(), problem.reason)
             self.assertTrue(problem.remedy)
 
-    def test_what_a_caller_forges_never_reaches_a_replica(self) -> None:
+    def test_headers_that_a_caller_may_not_set_are_not_forwarded(self) -> None:
         forged = [
             (name, b"forged")
             for name in (
@@ -66,7 +66,7 @@
                 b"X-Expected-Version",
             )
         ]
-        headers = self.dialect.dispatch_headers(
+        headers = self.codec.dispatch_headers(
             REQUEST + forged, DispatchFields(deadline_s=1.5, replica_id="i-7f3a91c2")
         )
         self.assertNotIn(b"forged", [value for _, value in headers])
@@ -76,11 +76,11 @@
         self.assertNotIn(b"connection", names)
         self.assertNotIn(b"last-event-id", names)
 
-    def test_a_dispatch_carries_the_callers_fields_and_the_routers(self) -> None:
+    def test_a_dispatch_has_the_callers_and_the_routers_headers(self) -> None:
         fields = DispatchFields(
             1.5, "i-1", "sese880", 0, "-/m/2", 2, 12, "10.2.64.3:8080", "172.20.0.2:8080"
         )
-        headers = dict(self.dialect.dispatch_headers(REQUEST, fields))
+        headers = dict(self.codec.dispatch_headers(REQUEST, fields))
         self.assertEqual(headers[b"X-Model"], b"daka510000")
         self.assertEqual(headers[b"X-Length-Hint"], b"40")
         self.assertEqual(headers[b"X-Deadline-Ms"], b"1500")
@@ -92,9 +92,9 @@
         self.assertEqual(headers[b"X-Kv-Fetch"], b"10.2.64.3:8080")
         self.assertEqual(headers[b"X-Kv-Save"], b"172.20.0.2:8080")
 
-    def test_answers(self) -> None:
+    def test_answers_are_read(self) -> None:
         def read(status: int, headers: Headers) -> tuple[bool, bool, bool, int | None]:
-            fields = self.dialect.read_answer(AnswerHead(status, b"", headers, 0))
+            fields = self.codec.read_answer(AnswerHead(status, b"", headers, 0))
             return fields.authentic, fields.not_run, fields.misdirected, fields.weights_version
 
         self.assertEqual(
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file to the router's settings."""
+"""Reading of the platform's settings file."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    def test_the_example_is_read(self) -> None:
+    def test_a_full_file_is_parsed(self) -> None:
         settings = parse_settings(EXAMPLE)
         assert not isinstance(settings, Failure)
         self.assertEqual(settings.node_id, "front-thamel-hall-1")
@@ -50,7 +50,7 @@
         self.assertEqual(settings.bounds.weights_s, 8.0)
         self.assertTrue(settings.bounds.fail_closed)
 
-    def test_each_problem_names_its_key_and_a_remedy(self) -> None:
+    def test_invalid_settings_are_failures_with_key_and_remedy(self) -> None:
         for old, new, key in (
             ("Node=front-thamel-hall-1\n", "", "Node"),
             ("Bounds.RevokeMs=5000", "Bounds.RevokeMs=soon", "Bounds.RevokeMs"),
--- a/tests/test_platform_whole.py
+++ b/tests/test_platform_whole.py
@@ -1,4 +1,4 @@
-"""Whole router processes before the platform's stand-ins, over loopback."""
+"""Whole routers over loopback: streams, rollouts, planned stops and loss of the store."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tests.relay_support import ReceivedAnswer, read_answer
 from winchfork.router.settings import RouterSettings
 
-_PATIENCE_S = 25.0
-#: Seconds that operators give a rollout of software.
+_TIMEOUT_S = 25.0
+#: Duration that operators order for a software rollout.
 ROLLOUT_S = 9.0
 _HEAD = (
     "POST {path} HTTP/1.1\r\nHost: proofs.example\r\nX-Request-Id: {request_id}\r\n"
@@ -35,12 +35,12 @@
     host, _, port = settings.caller_address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(message)
-    answer = await asyncio.wait_for(read_answer(reader), _PATIENCE_S)
+    answer = await asyncio.wait_for(read_answer(reader), _TIMEOUT_S)
     writer.close()
     return answer
 
 
-def _numbers(answer: ReceivedAnswer) -> list[int]:
+def _event_ids(answer: ReceivedAnswer) -> list[int]:
     lines = answer.body.decode().splitlines()
     return [int(line[4:]) for line in lines if line.startswith("id: ")]
 
@@ -49,8 +49,8 @@
     async def asyncSetUp(self) -> None:
         self.deployment = LoopbackDeployment()
         await self.deployment.start()
-        await asyncio.wait_for(self.deployment.wait_until_ready(), _PATIENCE_S)
-        self.left_out: RouterSettings | None = None
+        await asyncio.wait_for(self.deployment.wait_until_ready(), _TIMEOUT_S)
+        self.crashed_router_settings: RouterSettings | None = None
 
     async def asyncTearDown(self) -> None:
         await self.deployment.stop()
@@ -59,51 +59,51 @@
         for number, settings in enumerate(self.deployment.settings):
             stream = await _ask(settings, _request(f"stream-{number}", tokens_out=12))
             self.assertTrue(stream.whole)
-            self.assertEqual(_numbers(stream), list(range(1, 13)))
+            self.assertEqual(_event_ids(stream), list(range(1, 13)))
             command = await _ask(settings, _request(f"command-{number}"))
             self.assertEqual(command.status, 200)
         ran = [name for replica in self.deployment.application_replicas for name in replica.ran]
         self.assertEqual(sorted(ran), ["command-0", "command-1", "command-2"])
 
-    async def test_a_torn_stream_goes_on_at_another_replica(self) -> None:
+    async def test_a_truncated_stream_resumes_at_another_replica(self) -> None:
         self.deployment.allow_retries()
         for replica in self.deployment.model_replicas:
             replica.truncate_at_event = 5
         answer = await _ask(self.deployment.settings[0], _request("torn", tokens_out=9))
-        # Two replicas are asked, and both tear: the answer must then look torn.
+        # Both replicas truncate the stream, so the caller's answer must be truncated too.
         self.assertFalse(answer.whole)
-        self.assertEqual(_numbers(answer), [1, 2, 3, 4])
-        self.assertEqual(len(self._that_ran("torn")), 2)
+        self.assertEqual(_event_ids(answer), [1, 2, 3, 4])
+        self.assertEqual(len(self._replicas_that_ran("torn")), 2)
         for number in range(3):
-            first = await self._tear_where_it_runs_next(number)
+            first = await self._truncate_the_next_stream(number)
             name = f"whole-{number}"
             answer = await _ask(self.deployment.settings[0], _request(name, tokens_out=9))
             self.assertTrue(answer.whole)
-            self.assertEqual(_numbers(answer), list(range(1, 10)))
-            ran = self._that_ran(name)
+            self.assertEqual(_event_ids(answer), list(range(1, 10)))
+            ran = self._replicas_that_ran(name)
             self.assertEqual(len(ran), 2)
             self.assertIn(first, ran)
 
-    async def test_a_stream_torn_while_no_repeat_is_allowed_looks_torn(self) -> None:
+    async def test_a_stream_truncated_while_no_retry_is_allowed_stays_truncated(self) -> None:
         for replica in self.deployment.model_replicas:
             replica.truncate_at_event = 5
         answer = await _ask(self.deployment.settings[0], _request("torn", tokens_out=9))
         self.assertFalse(answer.whole)
-        self.assertEqual(_numbers(answer), [1, 2, 3, 4])
-        self.assertEqual(len(self._that_ran("torn")), 1)
+        self.assertEqual(_event_ids(answer), [1, 2, 3, 4])
+        self.assertEqual(len(self._replicas_that_ran("torn")), 1)
 
-    async def _tear_where_it_runs_next(self, number: int) -> ReplicaServer:
-        """Find the replica that a stream is sent to, and have it tear the next one."""
+    async def _truncate_the_next_stream(self, number: int) -> ReplicaServer:
+        """Find the replica that streams are sent to and let it truncate the next one."""
         name = f"before-{number}"
         answer = await _ask(self.deployment.settings[0], _request(name, tokens_out=9))
         self.assertTrue(answer.whole)
-        (replica,) = self._that_ran(name)
+        (replica,) = self._replicas_that_ran(name)
         for other in self.deployment.model_replicas:
             other.truncate_at_event = 0
         replica.truncate_at_event = 5
         return replica
 
-    def _that_ran(self, request_id: str) -> list[ReplicaServer]:
+    def _replicas_that_ran(self, request_id: str) -> list[ReplicaServer]:
         return [replica for replica in self.deployment.model_replicas if request_id in replica.ran]
 
     async def test_weights_are_rolled_out_while_streams_pass(self) -> None:
@@ -119,17 +119,17 @@
         fences = {replica.fence for replica in self.deployment.model_replicas}
         self.assertEqual(len(fences), 1)
 
-    async def test_a_good_and_a_failing_version_are_told_apart_beside_new_weights(self) -> None:
-        """How much of its time the sound one needs depends on the machine; that it is sound, not.
+    async def test_a_failing_version_is_rolled_back_and_a_sound_one_is_not_judged_bad(self) -> None:
+        """New weights are rolled out meanwhile, and the leader crashes.
 
-        That it is completed in time is asserted on the virtual clock, where time is given:
-        ``test_software_failures``, with the same lost leader and as few requests.
+        Whether the sound version completes in time depends on the machine's speed;
+        ``test_software_failures`` asserts that on a virtual clock.
         """
         sound, failing = await self._roll(ReplicaFault.NONE, ReplicaFault.FAILS)
         self.assertEqual(failing, "rolled_back")
         self.assertIn(sound, ("completed", "rolled_back"))
         for router in self.deployment.routers:
-            if router.state.settings is not self.left_out:
+            if router.state.settings is not self.crashed_router_settings:
                 self.assertEqual(router.state.software.effective_state("models").judged_bad, ())
 
     async def test_a_slow_version_and_one_that_fails_late_are_rolled_back(self) -> None:
@@ -137,7 +137,7 @@
         self.assertEqual(outcomes, ("rolled_back", "rolled_back"))
 
     async def _roll(self, models: ReplicaFault, applications: ReplicaFault) -> tuple[str, str]:
-        """Roll both services' software out under traffic; lose the leader in the middle."""
+        """Roll out both services' software under traffic; crash the leader meanwhile."""
         deployment = self.deployment
         stop = asyncio.Event()
         callers = [asyncio.create_task(self._call(number, stop)) for number in range(12)]
@@ -148,7 +148,7 @@
         await asyncio.sleep(1.0)
         deployment.publish_weights(2)
         await asyncio.sleep(0.8)
-        self.left_out = deployment.crash_leader()
+        self.crashed_router_settings = deployment.crash_leader()
         reports = await orders
         stop.set()
         await asyncio.gather(*callers)
@@ -165,30 +165,30 @@
         while not stop.is_set():
             number += 1
             settings = self.deployment.settings[(caller + number) % 3]
-            if settings is self.left_out:
+            if settings is self.crashed_router_settings:
                 continue
             tokens_out = 3 if number % 2 else 0
             try:
                 await _ask(settings, _request(f"roll-{caller}-{number}", tokens_out))
             except (OSError, asyncio.IncompleteReadError):
-                # The router that was lost in the middle.
+                # The crashed router.
                 await asyncio.sleep(0.05)
             await asyncio.sleep(0.02)
 
-    async def test_a_planned_stop_finishes_its_streams(self) -> None:
+    async def test_a_planned_stop_finishes_running_streams(self) -> None:
         router, settings = self.deployment.routers[0], self.deployment.settings[0]
-        asking = asyncio.create_task(_ask(settings, _request("stopping", tokens_out=300)))
+        request = asyncio.create_task(_ask(settings, _request("stopping", tokens_out=300)))
         while not router.service.active_requests:
             await asyncio.sleep(0.01)
         router.request_stop()
-        answer = await asking
+        answer = await request
         self.assertTrue(answer.whole)
-        self.assertEqual(_numbers(answer), list(range(1, 301)))
-        await asyncio.wait_for(self.deployment.tasks[0], _PATIENCE_S)
+        self.assertEqual(_event_ids(answer), list(range(1, 301)))
+        await asyncio.wait_for(self.deployment.tasks[0], _TIMEOUT_S)
         with self.assertRaises(OSError):
             await _ask(settings, _request("late", tokens_out=3))
 
-    async def test_a_lost_store_fails_closed_and_heals(self) -> None:
+    async def test_a_store_outage_fails_closed_until_the_store_returns(self) -> None:
         settings, router = self.deployment.settings[0], self.deployment.routers[0]
         self.deployment.store.down = True
         while router.state.api_keys_fresh:
