--- a/winchfork/control/leader.py
+++ b/winchfork/control/leader.py
@@ -61,18 +61,18 @@
 
     def _acquire(self) -> int:
         sent_at_s = self._clock()
-        held = self._store.get(self._key)
-        if isinstance(held, (Failure, Entry)):
+        current = self._store.get(self._key)
+        if isinstance(current, (Failure, Entry)):
             return 0
         lease_id = self._store.grant_lease(LEASE_S)
         if isinstance(lease_id, Failure):
             return 0
-        taken = self._store.compare_and_swap(self._key, self._own_id.encode(), 0, lease_id)
-        if isinstance(taken, Failure):
+        revision = self._store.compare_and_swap(self._key, self._own_id.encode(), 0, lease_id)
+        if isinstance(revision, Failure):
             # If the write took effect nevertheless, its lease expires.
             return 0
         self._lease_id = lease_id
-        self._fence = taken
+        self._fence = revision
         self._valid_until_s = sent_at_s + LEASE_S - _SAFETY_MARGIN_S
-        log_event("leadership_taken", key=self._key, fence=taken)
-        return taken if self.still_valid() else 0
+        log_event("leadership_taken", key=self._key, fence=revision)
+        return revision if self.still_valid() else 0
--- a/winchfork/errors.py
+++ b/winchfork/errors.py
@@ -69,7 +69,7 @@
         """Build a failure of this kind; ``reason`` is the cause, ``remedy`` what the reader can do.
 
         ``ran`` defaults to ``NOT_RUN`` for kinds that can only arise before execution, and to
-        ``UNKNOWN`` for all others, since a request that did not run may be repeated safely.
+        ``UNKNOWN`` for all others, because ``NOT_RUN`` permits a repeat of the request.
         """
         if ran is None:
             ran = RunState.NOT_RUN if self in _BEFORE_EXECUTION else RunState.UNKNOWN
--- a/winchfork/platform/headers.py
+++ b/winchfork/platform/headers.py
@@ -19,11 +19,13 @@
         found = _by_name(headers)
         request_id = found.get(names.REQUEST_ID.lower(), "")
         if not request_id:
-            return _bad(names.REQUEST_ID, "is missing", "send a unique id with each attempt")
+            return _invalid_header(
+                names.REQUEST_ID, "is missing", "send a unique id with each attempt"
+            )
         deadline = found.get(names.DEADLINE_MS.lower())
         deadline_s = _milliseconds(deadline) if deadline is not None else None
         if deadline is not None and deadline_s is None:
-            return _bad(names.DEADLINE_MS, "is not a number", "send whole milliseconds")
+            return _invalid_header(names.DEADLINE_MS, "is not a number", "send whole milliseconds")
         prompt = _prompt(found)
         if isinstance(prompt, Failure):
             return prompt
@@ -99,7 +101,7 @@
     for entry in filter(None, found.get(names.PREFIX_HASH.lower(), "").split(",")):
         part_id, _, tokens = entry.strip().partition(":")
         if not tokens.isdigit():
-            return _bad(
+            return _invalid_header(
                 names.PREFIX_HASH,
                 f"holds {entry[:40]!r}",
                 "send ID:TOKENS pairs separated by commas",
@@ -108,7 +110,7 @@
     usage = found.get(names.TOKEN_USAGE.lower(), "")
     prompt_text, _, output_text = usage.partition(",")
     if usage and not prompt_text.strip().isdigit():
-        return _bad(
+        return _invalid_header(
             names.TOKEN_USAGE,
             f"holds {usage[:40]!r}",
             "send PROMPT_TOKENS,OUTPUT_TOKENS as whole numbers",
@@ -118,5 +120,5 @@
     return Prompt(model, tuple(parts), prompt_tokens, output_tokens)
 
 
-def _bad(name: bytes, problem: str, remedy: str) -> Failure:
+def _invalid_header(name: bytes, problem: str, remedy: str) -> Failure:
     return FailureKind.INVALID_REQUEST.because(f"{name.decode()} {problem}", remedy=remedy)
--- a/winchfork/platform/settings.py
+++ b/winchfork/platform/settings.py
@@ -17,7 +17,7 @@
 
 
 def read_settings(environment: Mapping[str, str] | None = None) -> RouterSettings | Failure:
-    """Read the settings file that the environment variable names."""
+    """Read the settings file that the variable ``WINCHFORK_BOOT`` names."""
     path = (environment or os.environ).get(names.SETTINGS_VARIABLE, "")
     try:
         text = Path(path).read_text()
@@ -93,7 +93,9 @@
         """Return a text; a missing key without a default is a failure."""
         value = self._values.get(key, default)
         if value is None:
-            self._record_problem(key, "is missing", "set this key in the settings file")
+            self._record_problem(
+                key, "is missing", "check the settings file that the platform writes"
+            )
             return ""
         return value
 
--- a/winchfork/platform/store.py
+++ b/winchfork/platform/store.py
@@ -80,7 +80,7 @@
     async def list(self, prefix: str) -> StoreSnapshot | Failure:
         """Read every entry under a prefix, page by page; fails if the era changes in between."""
         items: list[StoreItem] = []
-        at: StorePosition | None = None
+        position: StorePosition | None = None
         after = ""
         for _ in range(_MAX_PAGES):
             query = {"PathPrefix": prefix} | ({"after": after} if after else {})
@@ -88,14 +88,14 @@
             if isinstance(answer, Failure):
                 return answer
             page = answer.body
-            at = at or StorePosition(answer.era, page.at)
-            if answer.era != at.era:
+            position = position or StorePosition(answer.era, page.at)
+            if answer.era != position.era:
                 return FailureKind.HISTORY_LOST.because(
                     "the store's era changed between two pages of a list"
                 )
             items += [_item(entry) for entry in page.items]
             if not page.more or not page.items:
-                return StoreSnapshot(tuple(items), at)
+                return StoreSnapshot(tuple(items), position)
             after = page.items[-1].key
         return FailureKind.STORE_UNAVAILABLE.because("the list exceeds the maximum number of pages")
 
@@ -108,8 +108,8 @@
         if isinstance(answer, Failure):
             return answer
         batch = answer.body
-        at = StorePosition(answer.era, batch.at)
-        return WatchBatch(tuple(_item(entry) for entry in batch.events), at)
+        position = StorePosition(answer.era, batch.at)
+        return WatchBatch(tuple(_item(entry) for entry in batch.events), position)
 
     async def transact(
         self, expected: Sequence[ExpectedRevision], puts: Sequence[PutItem]
--- a/winchfork/settings.py
+++ b/winchfork/settings.py
@@ -148,7 +148,7 @@
         )
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         return FailureKind.INVALID_SETTINGS.because(
-            f"{path} is not TOML: {error}", remedy="correct the syntax there"
+            f"{path} is not TOML: {error}", remedy="correct the TOML syntax"
         )
     for name, value in overrides.items():
         section, _, key = name.partition(".")
