--- a/tests/test_cache_store_copies.py
+++ b/tests/test_cache_store_copies.py
@@ -1,4 +1,4 @@
-"""Tests copies from cache stores: queries without data on the store, rates and configuration."""
+"""Tests copies from cache stores: lookups of unknown parts, copy rates and configuration."""
 
 from __future__ import annotations
 
--- a/tests/test_limit_fleet.py
+++ b/tests/test_limit_fleet.py
@@ -18,7 +18,7 @@
 PROPAGATION_S = 0.5
 #: Time within which a new daemon learns of a limit.
 JOIN_S = 3.0
-#: Bandwidth of a daemon's messages for one limit: a fifth of 6,000 bytes/s for twelve limits.
+#: Allowed bytes per second of a daemon for one limit: a fifth of 6,000 for twelve limits together.
 MAX_BYTES_PER_S = 6000.0 / 5 / 12
 
 
--- a/tests/test_limit_share.py
+++ b/tests/test_limit_share.py
@@ -127,9 +127,9 @@
         limit = RequestLimit()
         limit.set_position(LimitPosition(17, 20), 0.0)
         limit.update(1.0, 0.0)
-        opens_s = [at_s for at_s in range(100) if limit.available_in_s(at_s + 0.5) == 0.0]
-        begins_s = TRIAL_AFTER_SILENCE_S + 16 * TRIAL_TURN_S
-        self.assertEqual(opens_s, [begins_s, begins_s + 1, begins_s + 40, begins_s + 41])
+        available_at_s = [at_s for at_s in range(100) if limit.available_in_s(at_s + 0.5) == 0.0]
+        turn_s = TRIAL_AFTER_SILENCE_S + 16 * TRIAL_TURN_S
+        self.assertEqual(available_at_s, [turn_s, turn_s + 1, turn_s + 40, turn_s + 41])
 
     def test_a_changed_limit_applies_at_once_since_the_last_request(self) -> None:
         limit = RequestLimit()
--- a/tests/test_permit_queue.py
+++ b/tests/test_permit_queue.py
@@ -100,12 +100,12 @@
                 waiting[queue.join(0 if step % 30 == 0 else 1)] = now_s
             for ticket in sorted(waiting):
                 openings = [PermitOpening(max(0.0, at_s - now_s), 1.0 / 3.0) for at_s in due_s]
-                opens_s = permit_in_s(openings, queue.ahead(ticket))
+                permit_after_s = permit_in_s(openings, queue.ahead(ticket))
                 waited_s = now_s - waiting[ticket]
-                if opens_s <= 0.0:
+                if permit_after_s <= 0.0:
                     due_s[due_s.index(min(due_s))] = now_s + 1.0 / 3.0
                     waits_s[ticket.priority].append(waited_s)
-                elif opens_s > max_permit_wait_s(openings, 0.8) - waited_s:
+                elif permit_after_s > max_permit_wait_s(openings, 0.8) - waited_s:
                     refused[ticket.priority] += 1
                 else:
                     continue
--- a/tests/test_relay_fleet.py
+++ b/tests/test_relay_fleet.py
@@ -101,8 +101,8 @@
         fleet.record_other_answered(replica(fleet, "i-2"))
         self.assertEqual(accepting(fleet), ["i-1"])
 
-    def test_an_ended_replica_never_becomes_current_again(self) -> None:
-        """Not when its successor ends or is removed, and not when it is listed again."""
+    def test_an_ended_replica_becomes_current_only_by_an_answer(self) -> None:
+        """It does not when its successor ends or is removed, nor when it is listed again."""
         fleet = fleet_of(listing("i-1"), listing("i-2"))
         fleet.record_other_answered(replica(fleet, "i-1"), "i-2")
         fleet.record_other_answered(replica(fleet, "i-2"))
--- a/tests/test_relay_placement.py
+++ b/tests/test_relay_placement.py
@@ -17,6 +17,7 @@
 from winchfork.core.task_placement import TaskPlacementRequest, place_task
 
 SCOPE = CacheScope.for_tenant("t", False, "m")
+#: Tokens per second.
 COPY_RATE = 800_000.0
 PREFILL_RATE = 40_000.0
 
--- a/tests/test_request_limit.py
+++ b/tests/test_request_limit.py
@@ -43,7 +43,7 @@
     def test_an_answer_without_the_header_has_no_limit(self) -> None:
         self.assertFalse(read("3", name="X-Limit").has_limit)
 
-    def test_unknown_fields_are_reported_by_name(self) -> None:
+    def test_unknown_headers_are_reported_by_name(self) -> None:
         self.assertEqual(read("1", name="Server-Mood").unknown_names, ("server-mood",))
         for name in ("Server-Leaving", "Server-Limit", "Server-Timing", "Server", "X-Server-Id"):
             self.assertEqual(read("1", name=name).unknown_names, (), name)
@@ -116,7 +116,7 @@
         await relay.ask("id-1")
         self.assertEqual(replica.notice.limit.per_s, 2.0)
 
-    async def test_unknown_fields_are_counted_by_name(self) -> None:
+    async def test_unknown_headers_are_counted_by_name(self) -> None:
         answer = answering(lambda r: signed(r, b"ok", extra="Server-Mood: bad\r\n"))
         relay = await self.relay(ScriptedReplica(answer))
         for number in range(3):
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -62,23 +62,23 @@
 class SplitTest(unittest.TestCase):
     def test_every_window_of_requests_follows_the_weights(self) -> None:
         split = route("r", "h", "/", shares=(ServiceShare("a", 90), ServiceShare("b", 10)))
-        chooser = TrafficSplitter()
-        chosen = [chooser.choose(split) for _ in range(200)]
+        splitter = TrafficSplitter()
+        chosen = [splitter.choose(split) for _ in range(200)]
         for start in range(150):
             window = Counter(chosen[start : start + 50])
             self.assertLessEqual(abs(window["b"] - 5), 1)
 
     def test_a_service_of_weight_zero_gets_nothing(self) -> None:
         split = route("r", "h", "/", shares=(ServiceShare("a", 1), ServiceShare("b", 0)))
-        chooser = TrafficSplitter()
-        self.assertEqual({chooser.choose(split) for _ in range(50)}, {"a"})
+        splitter = TrafficSplitter()
+        self.assertEqual({splitter.choose(split) for _ in range(50)}, {"a"})
 
     def test_the_state_of_removed_routes_is_dropped(self) -> None:
         split = route("r", "h", "/", shares=(ServiceShare("a", 1), ServiceShare("b", 1)))
-        chooser = TrafficSplitter()
-        chooser.choose(split)
-        chooser.forget_except([])
-        self.assertEqual(chooser.choose(split), "a")
+        splitter = TrafficSplitter()
+        splitter.choose(split)
+        splitter.forget_except([])
+        self.assertEqual(splitter.choose(split), "a")
 
 
 class CacheScopeTest(unittest.TestCase):
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -19,7 +19,7 @@
 
 class UrgencyLevelTest(unittest.TestCase):
     def test_a_short_prefill_keeps_the_configured_priority(self) -> None:
-        self.assertEqual([urgency_level(rank, 0.01, 0.5) for rank in (0, 1, 3)], [0, 1, 3])
+        self.assertEqual([urgency_level(priority, 0.01, 0.5) for priority in (0, 1, 3)], [0, 1, 3])
 
     def test_each_doubling_lowers_the_urgency_by_one_level(self) -> None:
         levels = [urgency_level(0, prefill_s, 0.5) for prefill_s in (0.03, 0.06, 0.12, 0.24)]
--- a/winchfork/core/part_index.py
+++ b/winchfork/core/part_index.py
@@ -14,6 +14,7 @@
 
 from winchfork.core.prompt_parts import CacheScope, Prompt, PromptPart
 
+#: Default upper bound on the number of parts in an index.
 DEFAULT_CAPACITY = 20_000
 
 
--- a/winchfork/core/placement.py
+++ b/winchfork/core/placement.py
@@ -1,4 +1,4 @@
-"""The interface of placement policies: request, candidate replicas and cached blocks to a decision.
+"""The interface of placement policies, which choose a replica for each request.
 
 Each policy implements :class:`PlacementPolicy` and is chosen by name. Policies are deterministic:
 randomness comes from a seeded generator that is passed in when a policy is built.
--- a/winchfork/core/placement_request.py
+++ b/winchfork/core/placement_request.py
@@ -62,7 +62,7 @@
     ``copy_tokens_per_s`` is the rate at which replicas of a zone copy cached parts from each other;
     0: they cannot. ``cache_tokens`` is the cache memory of a replica; 0: not known.
     ``mean_run_s`` is the recent mean run time. ``old_versions`` are weights versions whose answers
-    cost extra. ``max_jitter_s`` bounds the jitter in a replica's cost, which is drawn by
+    cost extra. ``max_jitter_s`` bounds the jitter in a replica's cost, which is derived from
     ``jitter_key``. ``stores`` are the cache stores by region. ``prefill_tokens_per_s`` is the
     replicas' prefill rate. ``gap_target_s`` is the longest allowed gap between tokens of running
     answers; 0: not known. ``cross_region_cost_s`` is the cost of a replica in another region.
--- a/winchfork/core/policies/expected_time.py
+++ b/winchfork/core/policies/expected_time.py
@@ -57,14 +57,14 @@
         """Return the cheapest replica with the best alternatives."""
         source = _longest_cached(matched)
         family = request.prefix.family
-        best: list[tuple[float, str, Replica]] = []
+        costs: list[tuple[float, str, Replica]] = []
         for replica in replicas:
             cached = matched.get(replica.replica_id, 0)
             wait_s = _wait_s(replica, request.urgent)
             cost = _cost(request, replica, wait_s, _work(request, replica, cached, source))
             cost += RANK_COST_S * mixed_order(family, replica.order_hash)
-            best.append((cost, replica.replica_id, replica))
-        leaders = heapq.nsmallest(EXPLAINED_CANDIDATES, best)
+            costs.append((cost, replica.replica_id, replica))
+        leaders = heapq.nsmallest(EXPLAINED_CANDIDATES, costs)
         candidates = tuple(
             _candidate(request, replica, matched, source, cost) for cost, _, replica in leaders
         )
--- a/winchfork/core/prefill_plan.py
+++ b/winchfork/core/prefill_plan.py
@@ -1,7 +1,7 @@
 """Plans how a replica obtains a prompt: tokens already cached, tokens to copy, tokens to prefill.
 
-A copy is planned only if the rate from its source, which falls with the distance, compares well
-enough with the replica's prefill rate.
+A copy is planned only if its rate, which falls with the distance of the source, is high enough in
+relation to the replica's prefill rate.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 
 class PrefillPlanner:
-    """Plans the prefill of one prompt; looks the index up once for each weights version.
+    """Plans the prefill of one prompt; queries the index once for each weights version.
 
     ``sources`` are the replicas and stores that cached parts may be copied from.
     """
@@ -91,11 +91,11 @@
         return known
 
     def is_copy_worthwhile(self, copy_tokens_per_s: float) -> bool:
-        """Whether a copy at this rate is preferable to a prefill."""
+        """Whether a copy at this rate, in tokens per second, is preferable to a prefill."""
         return copy_tokens_per_s * MAX_COPY_TO_PREFILL_RATIO >= self._request.prefill_tokens_per_s
 
     def copy_tokens_per_s(self, source: RelayReplica, replica: RelayReplica) -> float:
-        """Return the rate at which a replica copies from a source; 0 where it cannot."""
+        """Return the tokens per second that a replica copies from a source; 0 if it cannot."""
         own_rate = self._request.copy_tokens_per_s
         rate = self._store_rates.get(source.order_hash, own_rate) if own_rate else 0.0
         distance = self._request.regions.distance(source.listing.zone, replica.listing.zone)
--- a/winchfork/core/prompt_cost.py
+++ b/winchfork/core/prompt_cost.py
@@ -14,7 +14,7 @@
 from winchfork.core.rendezvous import mixed_order
 from winchfork.core.zone_hubs import MAX_FULL_MESH_MEMBERS
 
-#: Cost in seconds of a replica whose slots are all taken; proportional to the slots taken.
+#: Cost in seconds of a replica whose slots are all taken; scaled by the share of slots taken.
 FULL_COST_S = 0.064
 #: Cost of caching copied parts a second time, as a share of their prefill time.
 DUPLICATE_COST_SHARE = 0.25
@@ -38,7 +38,7 @@
 #: Cost of a request on a replica that loads weights next, as a share of the expected run time: the
 #: load has to wait for the request to end.
 UPCOMING_LOAD_COST_SHARE = 0.1
-#: Cost per running request of the delay that a prefill causes it, as a share of the prefill time.
+#: Cost of the delay that a prefill causes each running request, as a share of the prefill time.
 INTERFERENCE_SHARE = 0.1
 #: Cost in seconds per running answer whose token gap would exceed the allowed maximum.
 TOKEN_GAP_COST_S = 0.3
@@ -99,7 +99,7 @@
 ) -> float:
     """Return the cost per running answer of the token gap that this prompt's prefill adds.
 
-    It is 0 where the queued prefill already exceeds the allowed gap.
+    It is 0 if no allowed gap is known or the queued prefill alone already causes the full cost.
     """
     free_s = TOKEN_GAP_FREE_SHARE * request.gap_target_s
     if not free_s:
--- a/winchfork/core/relay_fleet.py
+++ b/winchfork/core/relay_fleet.py
@@ -146,8 +146,8 @@
     def record_other_answered(self, asked: RelayReplica, answering_id: str = "") -> None:
         """Record that another incarnation than ``asked`` answered at its address.
 
-        ``asked`` is marked as ended. ``answering_id`` becomes current; if it is empty, the most
-        recent of the suspect incarnations does.
+        ``asked`` is marked as ended. ``answering_id`` becomes current; if it is empty or not listed
+        at that address, the most recent incarnation there that has not ended does.
         """
         listed = self._replicas.get(asked.replica_id)
         if listed is not None and listed.incarnation_state is not IncarnationState.ENDED:
--- a/winchfork/core/relay_placement.py
+++ b/winchfork/core/relay_placement.py
@@ -1,7 +1,7 @@
 """Chooses the replica for a prompt by least cost, as :mod:`winchfork.core.prompt_cost` defines it.
 
 Each family has a home replica in each region, chosen by rendezvous hashing. It is the same on every
-daemon, so daemons send a family to the same replica also without data on cached parts.
+daemon, so daemons send a family to the same replica even without data on cached parts.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from winchfork.core.relay_replica import RelayReplica
 from winchfork.core.rendezvous import member_hash, mixed_order
 
-#: Smallest number of shared tokens for which a store is queried that is not known to hold them.
+#: Smallest number of shared tokens for which a store is queried without knowing that it holds them.
 MIN_STORE_LOOKUP_TOKENS = 500
 
 
--- a/winchfork/core/relay_replica.py
+++ b/winchfork/core/relay_replica.py
@@ -67,11 +67,11 @@
         )
 
     def is_restart_of(self, earlier: ReplicaListing) -> bool:
-        """Whether it started after ``earlier``, which has the same id; False without a start."""
+        """Whether it started after ``earlier``, which has the same id; False without start time."""
         return self.started_at_ms > earlier.started_at_ms
 
     def is_older_incarnation_of(self, later: ReplicaListing) -> bool:
-        """Whether it started before ``later``, which has the same id; False without a start."""
+        """Whether it started before ``later``, which has the same id; False without start time."""
         return 0 < self.started_at_ms < later.started_at_ms
 
 
@@ -95,8 +95,8 @@
     ejected_until_s: float = 0.0
     loading_until_s: float = 0.0
     incarnation_state: IncarnationState = IncarnationState.CURRENT
-    #: Sequence number of the latest listing or answer that made it current; the highest one at an
-    #: address wins.
+    #: Sequence number of its first listing, or of the latest answer that showed it to be current;
+    #: the highest one at an address wins.
     recency: int = 0
     #: Until then a load of weights is expected soon, and long requests should be placed elsewhere.
     load_upcoming_until_s: float = 0.0
--- a/winchfork/core/replica_notice.py
+++ b/winchfork/core/replica_notice.py
@@ -21,11 +21,12 @@
 MAX_REPORTED_BACKOFF_S = 60.0
 #: Largest jitter added to a backoff, as a share of it, so that daemons do not resume together.
 BACKOFF_JITTER_SHARE = 0.1
-#: Seconds of the pause for draining that this incarnation has not itself announced to this daemon.
+#: Seconds for which a replica is paused if its draining was reported by a peer only, or may have
+#: been announced by an earlier incarnation.
 UNCONFIRMED_DRAINING_S = 15.0
 #: Assumed bound, in seconds, on the clock difference between a replica and this machine.
 CLOCK_TOLERANCE_S = 0.5
-#: Seconds to wait for the answer to the trial request after a backoff before sending others.
+#: Longest time in seconds for which an unanswered trial request holds back other requests.
 TRIAL_S = 0.25
 
 
@@ -134,27 +135,27 @@
         self._pause_until(now_s + pause_s)
         return True
 
-    def adopt(self, former: ReplicaNotice, started_s: float, now_s: float) -> bool:
+    def adopt(self, previous: ReplicaNotice, started_s: float, now_s: float) -> bool:
         """Adopt from an earlier incarnation's notice what this incarnation may have sent.
 
         Answers do not identify the incarnation, and a replica may answer before it is listed. So
         everything received since ``started_s`` may be this one's own. Draining is adopted as a
         pause only, because it may be the earlier incarnation's. False if nothing was adopted.
         """
-        adopts_limit = self._adopt_limit(former.limit, started_s)
-        if former.received_at_s <= started_s - CLOCK_TOLERANCE_S:
+        adopts_limit = self._adopt_limit(previous.limit, started_s)
+        if previous.received_at_s <= started_s - CLOCK_TOLERANCE_S:
             return adopts_limit
-        until_s = now_s + UNCONFIRMED_DRAINING_S if former.draining else former.backoff_until_s
+        until_s = now_s + UNCONFIRMED_DRAINING_S if previous.draining else previous.backoff_until_s
         if until_s <= now_s:
             return adopts_limit
         self._pause_until(until_s)
         return True
 
-    def _adopt_limit(self, former: RequestLimit, started_s: float) -> bool:
-        if former.per_s is None or former.received_at_s <= started_s - CLOCK_TOLERANCE_S:
+    def _adopt_limit(self, previous: RequestLimit, started_s: float) -> bool:
+        if previous.per_s is None or previous.received_at_s <= started_s - CLOCK_TOLERANCE_S:
             return False
-        if former.received_at_s > self.limit.received_at_s:
-            self.limit.adopt(former)
+        if previous.received_at_s > self.limit.received_at_s:
+            self.limit.adopt(previous)
         return True
 
     def is_backing_off(self, now_s: float) -> bool:
--- a/winchfork/core/request_limit.py
+++ b/winchfork/core/request_limit.py
@@ -2,8 +2,8 @@
 
 Replicas announce a limit in their answers; it holds for one incarnation until an answer omits it.
 Only a few daemons, the holders, may send to a limited replica: the first ones in an order that all
-daemons compute alike, at most one for each whole request per second. Each holder spaces its
-requests evenly; all other daemons use other replicas.
+daemons compute alike. There is at least one, and at most one for each whole request per second of
+the limit. Each holder spaces its requests evenly; all other daemons use other replicas.
 
 If no report of a limit arrives for a while, for example because the holders have no requests, the
 other daemons take turns to send one trial request each. Times are monotonic seconds, passed in by
@@ -24,7 +24,7 @@
 WINDOW_S = 4.0
 #: Seconds by which a request may be sent before it is due.
 MAX_EARLY_S = 0.2
-#: Lower bound on requests per second to a limited replica, so that the end of a limit is noticed.
+#: Requests per second that are allowed even under a lower limit, so that its end is noticed.
 MIN_REQUESTS_PER_S = 0.2
 #: Seconds after a membership change for which a new holder sends nothing, since the previous one
 #: may not yet know of the change.
@@ -126,12 +126,12 @@
         """
         return self.per_s is None and self.received_at_s > sent_s
 
-    def adopt(self, former: RequestLimit) -> None:
+    def adopt(self, previous: RequestLimit) -> None:
         """Adopt a limit that was attributed to an earlier incarnation but is this one's."""
-        self.per_s = former.per_s
-        self.holders = former.holders
-        self.received_at_s = former.received_at_s
-        self._last_due_s = former._last_due_s
+        self.per_s = previous.per_s
+        self.holders = previous.holders
+        self.received_at_s = previous.received_at_s
+        self._last_due_s = previous._last_due_s
 
     # This daemon's share
 
--- a/winchfork/core/software_orders.py
+++ b/winchfork/core/software_orders.py
@@ -56,12 +56,12 @@
         """Mark a number as belonging to no order of the service any more."""
         self._renumber(service, number, NO_ORDER)
 
-    def _renumber(self, service: str, former: int, number: int) -> None:
+    def _renumber(self, service: str, previous: int, number: int) -> None:
         self._numbers = {
-            key: number if key[0] == service and current == former else current
+            key: number if key[0] == service and current == previous else current
             for key, current in list(self._numbers.items())[-MAX_ORDERS:]
         }
-        self._numbers[service, former] = number
+        self._numbers[service, previous] = number
         # After a restore the store may assign the same revision again.
         self._numbers.pop((service, number), None)
 
@@ -74,17 +74,18 @@
         if position <= known.position:
             return None
         known.position = position
-        former, is_other_era = known.order, position.era != known.era
-        is_same = is_other_era and _is_same_order(order, former)
+        previous, is_other_era = known.order, position.era != known.era
+        is_same = is_other_era and _is_same_order(order, previous)
+        # A restored entry may hold an order that was read before and then replaced by a newer one.
         if is_other_era and not is_same and order in known.read:
             return None
         known.order, known.era = order, position.era
         known.read = [*known.read, order][-MAX_ORDERS:]
-        if is_same and order.revision == former.revision:
+        if is_same and order.revision == previous.revision:
             return None
         if is_same:
-            self._renumber(order.service, former.revision, order.revision)
-            return OrderUpdate(order, former.revision)
+            self._renumber(order.service, previous.revision, order.revision)
+            return OrderUpdate(order, previous.revision)
         self._numbers.pop((order.service, order.revision), None)
         return OrderUpdate(order)
 
--- a/winchfork/core/software_plan.py
+++ b/winchfork/core/software_plan.py
@@ -60,7 +60,7 @@
     """Bounds on the requests that a bad version may get.
 
     ``share`` is their share of all requests and ``slack`` the number allowed in addition.
-    ``rollback_s`` is the time after 50 bad answers within which it must get no more requests.
+    ``rollback_s`` is the time after 50 bad answers within which requests to it must stop.
     """
 
     share: float = 0.1
@@ -69,11 +69,13 @@
 
 
 class RolloutView(msgspec.Struct, frozen=True):
-    """The leader's view of one service. Times in seconds; slots of accepting replicas.
+    """The leader's view of one service. Times are in seconds.
 
-    ``elapsed_s`` is the time since the order by the records; ``left_s`` is the time until its time
-    limit. ``old_running`` is the number of requests in flight on the old replicas; it is complete
-    only if ``all_daemons_reported``.
+    ``elapsed_s`` is the time since the order according to the records, ``remaining_s`` the time
+    until its time limit, ``stage_s`` the time since the current record. Replicas and slots are
+    those that accept requests and are not ejected. ``old_running`` is the number of requests in
+    flight on replicas of all versions but the target; it is complete only if
+    ``all_daemons_reported``.
     """
 
     elapsed_s: float
--- a/winchfork/core/version_evidence.py
+++ b/winchfork/core/version_evidence.py
@@ -32,7 +32,7 @@
 PRIOR_BAD_SHARE = 0.03
 #: Weight of that prior, in answers.
 PRIOR_ANSWERS = 20.0
-#: Bounds on shares; keep the logarithms finite.
+#: Bounds on the shares, which keep the logarithms finite.
 MIN_SHARE = 0.01
 MAX_SHARE = 0.95
 #: Number of recent evaluations over which the old version's recent share of bad answers is taken.
@@ -41,7 +41,7 @@
 MIN_RECENT_ANSWERS = 5
 #: Share of the new version's replicas that is excluded, worst first.
 WORST_SHARE = 0.2
-#: Number of replicas from which the worst are excluded.
+#: Smallest number of replicas at which the worst are excluded; of fewer, all count.
 MIN_COMPARED_REPLICAS = 3
 
 
@@ -121,11 +121,11 @@
 class Assessment(enum.Enum):
     """The assessment of the new version from all answers so far."""
 
-    #: The approval threshold is passed, and no route is evidence against it.
+    #: The approval threshold is passed, and no route gives evidence against it.
     GOOD = "good"
-    #: The threshold for a probably good version is passed, and no route is evidence against it.
+    #: The threshold for a probably good version is passed, and no route gives evidence against it.
     PROBABLE = "probable"
-    #: No route is evidence against it, but there are too few answers.
+    #: No route gives evidence against it, but there are too few answers.
     INCONCLUSIVE = "open"
     #: On some route a bad version is more likely than a good one.
     SUSPECT = "doubtful"
@@ -136,7 +136,7 @@
 
     def __init__(self) -> None:
         self._sums: dict[tuple[int, Fault], float] = {}
-        #: Log likelihood ratios of all evaluations, each with the share expected at its time.
+        #: Sums of the log likelihood ratios of all evaluations, each for the share then expected.
         self._ratios: dict[tuple[int, Fault], float] = {}
         self._seen: dict[tuple[int, Fault], tuple[int, int]] = {}
         self._old_seen: dict[int, collections.deque[AnswerCounts]] = {}
@@ -165,7 +165,7 @@
         return None
 
     def _recent_answers(self, route: int, old: AnswerCounts) -> tuple[AnswerCounts, AnswerCounts]:
-        """Return the old version's answers since the last and since the oldest kept evaluation."""
+        """Return the old version's answers since the last and the oldest recorded evaluation."""
         seen = self._old_seen.setdefault(route, collections.deque(maxlen=COMPARED_CHECKS))
         if not seen:
             seen.append(AnswerCounts())
@@ -179,9 +179,9 @@
         seen_answers, seen_bad = self._seen.get(key, (0, 0))
         # The counts may fall when another replica becomes the worst and is excluded.
         self._seen[key] = (max(answers, seen_answers), max(bad, seen_bad))
-        new_bad = max(0, bad - seen_bad)
-        new_good = max(0, answers - seen_answers - new_bad)
-        ratio = log_ratio(new_bad, new_good, expected)
+        added_bad = max(0, bad - seen_bad)
+        added_good = max(0, answers - seen_answers - added_bad)
+        ratio = log_ratio(added_bad, added_good, expected)
         self._sums[key] = max(0.0, self._sums.get(key, 0.0) + ratio)
         self._ratios[key] = self._ratios.get(key, 0.0) + ratio
         return self._sums[key]
--- a/winchfork/core/weight_rollout.py
+++ b/winchfork/core/weight_rollout.py
@@ -160,12 +160,12 @@
     ]
     behind.sort(key=lambda replica: (replica.version, replica.busy_s, replica.replica_id))
     under_order = sum(1 for replica in replicas if replica.under_order)
-    slots = pace.max_concurrent_loads(sum(1 for replica in replicas if replica.accepting))
-    free = max(0, slots - under_order)
-    free_if_overdue = max(0, OVERDUE_FACTOR * slots - under_order)
+    max_loads = pace.max_concurrent_loads(sum(1 for replica in replicas if replica.accepting))
+    free = max(0, max_loads - under_order)
+    free_if_overdue = max(0, OVERDUE_FACTOR * max_loads - under_order)
     overdue = [replica.replica_id for replica in behind if replica.overdue][:free_if_overdue]
     ordered = set(overdue)
     others = [replica.replica_id for replica in behind if replica.replica_id not in ordered]
     remaining = max(0, free - len(overdue))
     order = (*overdue, *others[:remaining])
-    return LoadStep(order, tuple(others[remaining : remaining + slots * PREPARED_BATCHES]))
+    return LoadStep(order, tuple(others[remaining : remaining + max_loads * PREPARED_BATCHES]))
