--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""The experiments are repeatable, and the product's policy beats the simplest one."""
+"""Experiments are deterministic, lose no request, and show prefix-aware placement to pay off."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
             self.assertEqual((name, report["unfinished"], report["lost"]), (name, 0, 0))
 
     def test_prefix_aware_placement_beats_rotation(self) -> None:
-        ours, rotation = _run("expected-time"), _run("round-robin")
-        self.assertGreater(ours["hit_rate"], rotation["hit_rate"] + 0.1)
-        self.assertLess(ours["wasted_share"], rotation["wasted_share"] / 2)
+        prefix_aware, rotation = _run("expected-time"), _run("round-robin")
+        self.assertGreater(prefix_aware["hit_rate"], rotation["hit_rate"] + 0.1)
+        self.assertLess(prefix_aware["wasted_share"], rotation["wasted_share"] / 2)
 
 
 if __name__ == "__main__":
--- a/tests/test_log_explanation.py
+++ b/tests/test_log_explanation.py
@@ -1,4 +1,4 @@
-"""A request's life told from routers' log lines, as operators ask for it after an incident."""
+"""`winchfork explain --log`: parsing of log lines, and selection of the events of one request."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 def line(second: float, event: str, **fields: object) -> str:
-    """Return a line of the log as a router writes it."""
+    """Return a log line as a router writes it."""
     return f"time=2026-08-05T08:39:{second:06.3f}+00:00 level=INFO {format_event(event, fields)}"
 
 
-#: A request that a replica turned away while others of its daemon's events happened.
+#: A request that a replica refused, among other events of the same daemon.
 LINES = [
     line(1.0, "replica_listed", replica="i-1", accepting=True),
     line(20.0, "replica_notice", replica="i-1", notice="backoff", backoff_s=3.0),
@@ -46,8 +46,8 @@
     return explain_request(events, request_id)
 
 
-class ReadingTest(unittest.TestCase):
-    def test_what_is_written_is_read(self) -> None:
+class ReadEventsTest(unittest.TestCase):
+    def test_a_written_line_is_parsed_back(self) -> None:
         written: list[str] = []
         configure_logs("info", written.append)
         self.addCleanup(configure_logs, "error")
@@ -57,30 +57,30 @@
         self.assertEqual(event.field("id"), 'a "b"\n c=d')
         self.assertEqual((event.field("took_s"), event.field("left")), ("0.25", ""))
 
-    def test_other_lines_are_passed_over(self) -> None:
+    def test_lines_of_other_programs_are_skipped(self) -> None:
         lines = ["", "time=soon event=x", "time=2026-08-05T08:39:01+00:00 level=INFO", "Traceback"]
         self.assertEqual(list(read_events("n1", lines)), [])
 
 
 class ExplanationTest(unittest.TestCase):
-    def test_the_request_and_what_decided_about_it(self) -> None:
+    def test_related_events_and_the_meaning_of_the_outcome(self) -> None:
         explanation = explained("asked", ("n1", LINES))
         assert explanation is not None
         names = [event.name for event in explanation.events]
         self.assertEqual(names, ["replica_notice", "request_sent", "request_done", "store_lost"])
         self.assertEqual(
             explanation.meaning,
-            "the replica turned the request away, and it could not be sent to another; not "
-            "repeated: it was sent to as many replicas as its route allows; replica answered 503",
+            "the replica refused the request, and it could not be sent to another; not "
+            "retried: it was sent to as many replicas as its route allows; replica answered 503",
         )
 
-    def test_events_of_other_daemons_decided_nothing(self) -> None:
+    def test_events_of_other_daemons_are_left_out(self) -> None:
         elsewhere = [line(20.9, "replica_ejected", replica="i-1"), line(20.9, "store_lost")]
         explanation = explained("asked", ("n1", LINES), ("n2", elsewhere))
         assert explanation is not None
         self.assertEqual({event.source for event in explanation.events}, {"n1"})
 
-    def test_a_request_that_has_not_ended_or_is_not_known(self) -> None:
+    def test_an_unfinished_and_an_unknown_request(self) -> None:
         explanation = explained("other", ("n1", LINES))
         assert explanation is not None
         self.assertIn("has not ended", explanation.meaning)
@@ -100,15 +100,15 @@
             code = main(["explain", *arguments])
         return code, out.getvalue(), err.getvalue()
 
-    def test_it_prints_a_line_for_each_event_and_the_meaning(self) -> None:
+    def test_one_line_per_event_and_the_meaning_are_printed(self) -> None:
         code, out, _ = self.run_command("asked", "--log", str(self.file))
         self.assertEqual(code, 0)
         lines = out.splitlines()
         self.assertEqual(len(lines), 5)
         self.assertTrue(lines[1].startswith("08:39:21.000 front-1 request_sent id=asked"))
-        self.assertTrue(lines[-1].startswith("=> the replica turned"))
+        self.assertTrue(lines[-1].startswith("=> the replica refused"))
 
-    def test_a_file_or_a_request_that_is_not_there_is_named_with_a_remedy(self) -> None:
+    def test_a_missing_file_or_request_is_reported_with_a_remedy(self) -> None:
         for arguments in (("asked", "--log", "/nowhere.log"), ("none", "--log", str(self.file))):
             code, _, err = self.run_command(*arguments)
             self.assertEqual(code, 1)
--- a/tests/test_log_plot.py
+++ b/tests/test_log_plot.py
@@ -1,4 +1,4 @@
-"""A day drawn from routers' log lines, as operators look at it first."""
+"""`winchfork plot`: aggregation of routers' log events, and the errors of the command."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from winchfork.cli.log_reading import read_events
 from winchfork.cli.main import main
 
-#: Two routers' lines of three seconds, with one store loss that ends and one that does not.
+#: Three seconds of two routers' lines; both lose the store, and only the first regains it.
 ONE = [
     line(10.0, "request_sent", id="a", replica="i-1"),
     line(10.2, "request_done", id="a", outcome="delivered_200", first_event_s=0.1),
@@ -46,7 +46,7 @@
 
 
 class DayFiguresTest(unittest.TestCase):
-    def test_requests_are_counted_by_second_and_by_what_became_of_them(self) -> None:
+    def test_requests_are_counted_by_second_and_outcome(self) -> None:
         figures = day()
         self.assertEqual(figures.seconds, 3)
         self.assertEqual(figures.outcomes["served"], {0: 2})
@@ -55,7 +55,7 @@
         self.assertEqual(figures.sent["i-1"], {0: 1, 1: 1})
         self.assertEqual(figures.busiest(1), ["i-1"])
 
-    def test_every_outcome_belongs_to_one_group(self) -> None:
+    def test_outcomes_are_grouped_by_prefix(self) -> None:
         expected = {
             "delivered_200": "served",
             "passed_on_500": "failed",
@@ -65,21 +65,21 @@
         }
         self.assertEqual({name: outcome_group(name) for name in expected}, expected)
 
-    def test_first_events_by_share(self) -> None:
+    def test_quantiles_of_the_time_to_first_event(self) -> None:
         figures = day()
         self.assertEqual(figures.first_event_at(0, 0.0), 0.1)
         self.assertEqual(figures.first_event_at(0, 0.95), 0.3)
         self.assertIsNone(figures.first_event_at(1, 0.5))
 
-    def test_what_several_daemons_tell_is_marked_once(self) -> None:
+    def test_an_event_logged_by_several_daemons_is_marked_once(self) -> None:
         self.assertEqual(day().marks, (Mark(1, "weights_named", "2"),))
 
-    def test_the_store_is_missed_by_each_daemon_for_its_own_time(self) -> None:
+    def test_periods_without_the_store_are_kept_per_daemon(self) -> None:
         first, second = day().store_unreachable
         self.assertEqual((first.source, round(first.until_s or 0.0, 3)), ("one", 2.6))
         self.assertEqual(second, StoreUnreachablePeriod("two", second.from_s, None))
 
-    def test_no_lines_are_no_day(self) -> None:
+    def test_no_events_give_no_figures(self) -> None:
         self.assertIsNone(figures_of_day([]))
 
 
@@ -89,21 +89,21 @@
         with tempfile.TemporaryDirectory() as folder:
             log = Path(folder) / "one.log"
             log.write_text("\n".join(lines))
-            picture = Path(folder) / out
+            image = Path(folder) / out
             with contextlib.redirect_stderr(errors), contextlib.redirect_stdout(errors):
-                code = main(["plot", "--log", str(log), "--out", str(picture)])
+                code = main(["plot", "--log", str(log), "--out", str(image)])
             if code == 0:
-                self.assertGreater(picture.stat().st_size, 10_000)
+                self.assertGreater(image.stat().st_size, 10_000)
         return code, errors.getvalue()
 
-    def test_a_picture_is_written(self) -> None:
+    def test_an_image_is_written(self) -> None:
         self.assertEqual(self.plot([*ONE, *TWO], "day.png")[0], 0)
 
-    def test_what_cannot_be_drawn_or_written_is_told_with_a_remedy(self) -> None:
-        code, told = self.plot(["nothing"], "day.png")
+    def test_a_log_without_events_and_an_unwritable_image_are_reported(self) -> None:
+        code, errors = self.plot(["nothing"], "day.png")
         self.assertEqual(code, 1)
-        self.assertIn("is a router's", told)
+        self.assertIn("is a router's log event", errors)
         for out in ("missing/day.png", "day.unknown"):
-            code, told = self.plot(ONE, out)
+            code, errors = self.plot(ONE, out)
             self.assertEqual(code, 1)
-            self.assertIn("--out", told)
+            self.assertIn("--out", errors)
--- a/winchfork/cli/__init__.py
+++ b/winchfork/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""Command-line interface."""
--- a/winchfork/cli/day_figures.py
+++ b/winchfork/cli/day_figures.py
@@ -1,4 +1,4 @@
-"""What routers' log lines tell of a day, second by second: load, outcomes, replicas, events."""
+"""Aggregates router log events by second: outcomes, first-event times, dispatches and marks."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from winchfork.cli.log_reading import LoggedEvent
 
-#: How outcomes begin, and what they are drawn as; any other is a failure.
+#: Prefix of an outcome -> its group in the plot; any other outcome counts as failed.
 _GROUPS = {
     "delivered": "served",
     "caller_left": "left by callers",
@@ -24,7 +24,7 @@
 }
 FAILED = "failed"
 GROUPS = ("served", "refused", FAILED, "left by callers")
-#: Events that are marked in the picture, with the field that names what they concern.
+#: Events that are marked in the plot -> the field that names their subject (empty: none).
 _MARKED = {
     "weights_named": "version",
     "configuration_installed": "version",
@@ -41,7 +41,7 @@
 
 
 class Mark(msgspec.Struct, frozen=True, order=True):
-    """Something that happened, once for all daemons that tell of it within a second."""
+    """An event marked in the plot; equal events of several daemons in one second are one mark."""
 
     second: int
     event: str
@@ -49,7 +49,7 @@
 
 
 class StoreUnreachablePeriod(msgspec.Struct, frozen=True):
-    """Seconds in which one daemon did not reach the store; the end is None if no line tells it."""
+    """Seconds in which one daemon could not reach the store; ``until_s`` is None while open."""
 
     source: str
     from_s: float
@@ -57,7 +57,7 @@
 
 
 class DayFigures(msgspec.Struct, frozen=True):
-    """A day; seconds count from the first line, whose time in seconds since 1970 is ``began_s``."""
+    """Figures of one day; seconds count from the first event, at Unix time ``began_s``."""
 
     began_s: float
     seconds: int
@@ -68,24 +68,27 @@
     store_unreachable: tuple[StoreUnreachablePeriod, ...]
 
     def first_event_at(self, second: int, share: float) -> float | None:
-        """Return the time to the first event that a share of a second's streams stayed within."""
+        """Return the quantile ``share`` (0 to 1) of a second's times to first event, in seconds.
+
+        None if no stream of that second has one.
+        """
         waits_s = sorted(self.first_event_s.get(second, ()))
         return waits_s[min(len(waits_s) - 1, int(share * len(waits_s)))] if waits_s else None
 
     def busiest(self, count: int) -> list[str]:
-        """Return the replicas that were sent most, the busiest first."""
+        """Return the ``count`` replicas with the most requests sent to them, the busiest first."""
         totals = {replica: counts.total() for replica, counts in self.sent.items()}
         return sorted(totals, key=lambda replica: (-totals[replica], replica))[:count]
 
 
 def outcome_group(outcome: str) -> str:
-    """Return what an outcome is drawn as."""
+    """Return the plot group of an outcome."""
     found = (group for start, group in _GROUPS.items() if outcome.startswith(start))
     return next(found, FAILED)
 
 
 def figures_of_day(events: Iterable[LoggedEvent]) -> DayFigures | None:
-    """Add up the events of all logs; None without any."""
+    """Aggregate the events of all logs; return None if there are none."""
     known = sorted(events, key=lambda event: event.at_s)
     if not known:
         return None
@@ -112,11 +115,13 @@
         dict(first_event_s),
         dict(sent),
         tuple(sorted(marks)),
-        tuple(_silences(known, began_s)),
+        tuple(_store_unreachable_periods(known, began_s)),
     )
 
 
-def _silences(events: Sequence[LoggedEvent], began_s: float) -> list[StoreUnreachablePeriod]:
+def _store_unreachable_periods(
+    events: Sequence[LoggedEvent], began_s: float
+) -> list[StoreUnreachablePeriod]:
     lost_s: dict[str, float] = {}
     found = []
     for event in events:
--- a/winchfork/cli/day_plot.py
+++ b/winchfork/cli/day_plot.py
@@ -1,4 +1,4 @@
-"""Draws a day's figures as a picture: load, first events, replicas, and what happened when."""
+"""Plots a day's figures: outcomes, first-event times, requests per replica, marked events."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 _COLORS = {"served": "tab:green", "refused": "tab:orange", "failed": "tab:red"}
 _OTHER_COLOR = "tab:gray"
-#: Replicas that are drawn by name; the others are added up.
+#: Replicas with a line of their own; the others share one.
 MAX_NAMED_REPLICAS = 8
 _PANEL_INCHES = 2.4
 _WIDTH_INCHES = 13.0
@@ -16,7 +16,10 @@
 
 
 def draw_day(day: DayFigures, path: str, title: str) -> None:
-    """Write the picture; its format is that of the path's ending."""
+    """Write the plot to ``path``, whose suffix selects the image format.
+
+    Raises OSError if the file cannot be written, ValueError if the format is not supported.
+    """
     import matplotlib
 
     matplotlib.use("Agg")
@@ -47,12 +50,12 @@
         color = _COLORS.get(group, _OTHER_COLOR)
         panel.bar(seconds, counts, 1.0, bottom=below, align="edge", label=group, color=color)
         below = [low + count for low, count in zip(below, counts, strict=True)]
-    panel.set_ylabel("requests ended")
+    panel.set_ylabel("requests finished")
     panel.legend(loc="upper right", fontsize="small")
 
 
 def _draw_first_events(panel: Any, day: DayFigures) -> None:
-    for share, label in ((0.5, "half"), (0.95, "95 in 100")):
+    for share, label in ((0.5, "median"), (0.95, "95th percentile")):
         points = [(second, day.first_event_at(second, share)) for second in range(day.seconds)]
         drawn = [(second + 0.5, wait_s) for second, wait_s in points if wait_s is not None]
         panel.plot(*zip(*drawn, strict=True) if drawn else ([], []), label=label)
@@ -75,13 +78,13 @@
 
 
 def _draw_marks(panel: Any, day: DayFigures, events: list[str]) -> None:
-    """Draw a row for each kind of event, and one for times without the store."""
-    for silence in day.store_unreachable:
-        until_s = day.seconds if silence.until_s is None else silence.until_s
-        panel.barh(0, until_s - silence.from_s, 0.8, silence.from_s, color="tab:red", alpha=0.3)
+    """Draw one row per event name, and one for periods in which the store was unreachable."""
+    for period in day.store_unreachable:
+        until_s = day.seconds if period.until_s is None else period.until_s
+        panel.barh(0, until_s - period.from_s, 0.8, period.from_s, color="tab:red", alpha=0.3)
     for row, event in enumerate(events, start=1):
         at = [mark.second for mark in day.marks if mark.event == event]
         panel.plot(at, [row] * len(at), "|", markersize=9)
-    panel.set_yticks(range(len(events) + 1), ["store not reached", *events], fontsize="small")
+    panel.set_yticks(range(len(events) + 1), ["store unreachable", *events], fontsize="small")
     panel.set_ylim(-0.6, len(events) + 0.6)
     panel.set_xlim(0, day.seconds)
--- a/winchfork/cli/emulator_commands.py
+++ b/winchfork/cli/emulator_commands.py
@@ -1,4 +1,4 @@
-"""`winchfork dev`, `emulate` and `load`: the stand-ins and the load tool."""
+"""`winchfork dev`, `emulate` and `load`: emulated deployments and the load tool."""
 
 from __future__ import annotations
 
@@ -31,40 +31,40 @@
         "dev",
         help="run a whole deployment on loopback",
         description="Runs three zones, three daemons, emulated engines and platform in one "
-        "process until Ctrl-C, and prints lines to try.",
+        "process until Ctrl-C, and prints example commands.",
     )
     dev.add_argument("--profile", choices=profiles, default="himal")
     dev.add_argument("--log-level", default="warning")
     dev.set_defaults(run=_dev)
     emulate = commands.add_parser(
         "emulate",
-        help="run the stand-ins only",
+        help="run emulated engines, applications and platform only",
         description="Runs emulated engines, applications and platform, and writes settings files "
         "for daemons that use them.",
     )
     emulate.add_argument("--profile", choices=profiles, default="himal")
     emulate.add_argument(
-        "--settings-dir", metavar="DIR", help="write one settings file a zone into DIR"
+        "--settings-dir", metavar="DIR", help="write one settings file per zone into DIR"
     )
     emulate.add_argument("--log-level", default="warning")
     emulate.set_defaults(run=_emulate)
     load = commands.add_parser(
         "load",
         help="send a workload and check every answer",
-        description="Sends a profile's workload by HTTP from many callers and checks each answer "
-        "against what its own request must get. Exit code 1 if any was lost, doubled, crossed or "
-        "truncated.",
+        description="Sends a profile's workload over HTTP from many concurrent callers and checks "
+        "each answer against the one expected for its request. Exit code 1 if any answer was lost, "
+        "doubled, crossed (another request's text) or truncated.",
     )
     load.add_argument("--profile", choices=profiles, default="himal")
     load.add_argument(
         "--url",
         action="append",
         required=True,
-        help="a daemon's base URL; repeat it to spread callers and to retry elsewhere",
+        help="a daemon's base URL; repeatable, to spread the load and to retry at another daemon",
     )
     load.add_argument("--seed", type=int, default=1)
     load.add_argument("--duration", type=float, default=30.0, metavar="S")
-    load.add_argument("--rate", type=float, default=0.5, help="arrivals as a share of the profile")
+    load.add_argument("--rate", type=float, default=0.5, help="factor on the profile's arrivals")
     load.add_argument("--json", metavar="FILE", help="write the report as JSON")
     load.set_defaults(run=_load)
 
@@ -103,16 +103,16 @@
         f"  curl -sNi http://{http[0]}/v1/completions -H 'Authorization: Bearer {key}' "
         f"-H 'Content-Type: application/json' -d '{body}'"
     )
-    print("Ask why it went where it went:")
+    print("Show why the request was sent to its replica:")
     print(
         f"  WINCHFORK_TOKEN={OPERATOR_TOKEN} .venv/bin/python -m winchfork explain "
         f"--address {rpc} REQUEST_ID"
     )
-    print("See the fleet:")
+    print("Show the fleet's status:")
     print(
         f"  WINCHFORK_TOKEN={OPERATOR_TOKEN} .venv/bin/python -m winchfork status --address {rpc}"
     )
-    print("\nCtrl-C stops it.", flush=True)
+    print("\nPress Ctrl-C to stop.", flush=True)
     _wait_for_stop()
     fleet.stop()
     emulated.stop()
@@ -151,7 +151,7 @@
 
 
 def _to_toml(document: dict[str, dict[str, Any]]) -> str:
-    """Write a two-level document; JSON's strings, numbers, booleans and arrays are TOML's too."""
+    """Return a two-level document as TOML, whose scalars and arrays may be written as in JSON."""
     lines: list[str] = []
     for section, values in document.items():
         lines.append(f"[{section}]")
--- a/winchfork/cli/experiment_commands.py
+++ b/winchfork/cli/experiment_commands.py
@@ -35,7 +35,7 @@
         "run",
         help="run one profile under one policy",
         description="Runs in virtual time; the same options give the same figures. The profile "
-        "`target` runs the two-year sizes with hollow daemons and replicas.",
+        "`target` runs one region at its planned two-year size.",
     )
     run.add_argument("--profile", choices=[*sorted(DEPLOYMENTS), _TARGET], required=True)
     run.add_argument("--policy", choices=policy_names(), default=DEFAULT_POLICY)
@@ -46,23 +46,23 @@
     compare = actions.add_parser(
         "compare",
         help="compare policies over the same seeds",
-        description="Runs every policy over the same seeds (or takes reports that `experiment run "
-        "--json` wrote), and prints a table with 95 %% confidence.",
+        description="Runs every policy with the same seeds and prints a table with 95 %% "
+        "confidence intervals.",
     )
     compare.add_argument("--profile", choices=sorted(DEPLOYMENTS), required=True)
     compare.add_argument("--policy", action="append", choices=policy_names(), help="repeatable")
     compare.add_argument("--seeds", type=int, default=5)
     _common(compare)
     compare.add_argument(
-        "--reports", metavar="DIR", help="read reports from, and keep them in, this folder"
+        "--reports", metavar="DIR", help="reuse reports in this folder, and write new ones to it"
     )
     compare.add_argument("--plot", metavar="FILE", help="write a PNG")
     compare.set_defaults(run=_compare)
     capacity = actions.add_parser(
         "capacity",
-        help="measure the slopes behind docs/CAPACITY.md",
-        description="Measures each role's state, messages, bytes and processor time at several "
-        "sizes and fits a line.",
+        help="measure the figures in docs/CAPACITY.md",
+        description="Measures each role's memory, messages, bytes and processor time at several "
+        "sizes and fits a line to each.",
     )
     capacity.add_argument("--sizes", type=int, nargs="+", default=list(CAPACITY_SIZES))
     capacity.add_argument("--json", metavar="FILE")
@@ -71,9 +71,7 @@
 
 def _common(parser: argparse.ArgumentParser) -> None:
     parser.add_argument("--duration", type=float, default=240.0, metavar="S")
-    parser.add_argument(
-        "--rate", type=float, default=1.0, help="arrivals as a share of the profile"
-    )
+    parser.add_argument("--rate", type=float, default=1.0, help="factor on the profile's arrivals")
     parser.add_argument(
         "--fault",
         action="append",
@@ -148,7 +146,7 @@
 
 
 def _report_for(options: ExperimentOptions, directory: str | None) -> dict[str, Any]:
-    """Run, or take the kept report of the very same options."""
+    """Run the experiment, or load the stored report of an earlier run with the same options."""
     if directory is None:
         return run_experiment(options)
     faults = "-".join(f"{fault.name}@{fault.at_s:g}" for fault in options.faults) or "none"
--- a/winchfork/cli/log_commands.py
+++ b/winchfork/cli/log_commands.py
@@ -1,4 +1,4 @@
-"""`winchfork explain --log` and `plot`: what routers' log files tell, without a daemon."""
+"""`winchfork explain --log` and `plot`: commands that read routers' log files."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def explain_from_logs(arguments: argparse.Namespace) -> int:
-    """Print what the named files tell of a request; a line for each event, and what it comes to."""
+    """Print the logged events related to a request, one per line, and what its outcome means."""
     events = _read_files(arguments.log)
     if isinstance(events, Failure):
         return print_failure(events)
@@ -24,7 +24,7 @@
     if explanation is None:
         unknown = FailureKind.NOT_FOUND.because(
             f"no line of {', '.join(arguments.log)} names request {arguments.request_id}",
-            remedy="name the logs of every daemon of the zone, of the minute of the request",
+            remedy="name the logs of all daemons of the zone that cover the time of the request",
         )
         return print_failure(unknown)
     if arguments.output == "json":
@@ -36,15 +36,15 @@
 
 
 def plot_logs(arguments: argparse.Namespace) -> int:
-    """Draw the day that the named files tell of."""
+    """Plot the day that the log files cover."""
     events = _read_files(arguments.log)
     if isinstance(events, Failure):
         return print_failure(events)
     day = figures_of_day(events)
     if day is None:
         empty = FailureKind.NOT_FOUND.because(
-            f"no line of {', '.join(arguments.log)} is a router's",
-            remedy="name logs that routers have written",
+            f"no line of {', '.join(arguments.log)} is a router's log event",
+            remedy="name log files written by routers",
         )
         return print_failure(empty)
     began = datetime.fromtimestamp(day.began_s, UTC).strftime("%Y-%m-%d %H:%M:%S UTC")
@@ -53,7 +53,7 @@
     except (OSError, ValueError) as error:
         unwritten = FailureKind.INVALID_REQUEST.because(
             f"--out {arguments.out} cannot be written: {error}",
-            remedy="name a file in a folder that exists, ending in .png, .svg or .pdf",
+            remedy="name a file in an existing folder, with the suffix .png, .svg or .pdf",
         )
         return print_failure(unwritten)
     print(arguments.out)
--- a/winchfork/cli/log_explanation.py
+++ b/winchfork/cli/log_explanation.py
@@ -1,8 +1,8 @@
-"""The life of one request, told from routers' log lines: where it was sent and what came of it.
+"""Explains one request from routers' log events: where it was sent and how it ended.
 
-A daemon writes a request's own events under its id. What else decided about it is in the events of
-the replicas that it was sent to, and of the daemon itself: these are taken from the seconds around
-the request, from the daemon that served it.
+The explanation holds the events logged under the request's id and, from the daemon that served it,
+the events around that time that concern the daemon as a whole or a replica that the request was
+sent to.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 from winchfork.cli.log_reading import LoggedEvent
 
-#: How long before a request events may still have decided about it, and how long after its end they
-#: may explain it, in seconds: ejections last 8 s at most, a replica's end is known within 4 s.
+#: Seconds before a request's first event and after its last one within which other events are
+#: included. An ejection lasts at most 8 s; a replica's crash is detected within 4 s.
 BEFORE_S = 10.0
 AFTER_S = 4.0
-#: Events of a daemon as a whole that explain refusals.
+#: Events that concern a daemon as a whole.
 _DAEMON_EVENTS = frozenset(
     {
         "store_lost",
@@ -32,32 +32,33 @@
         "replica_limit",
     }
 )
-#: What an outcome means to an operator; what begins with one of these is that.
+#: Prefix of an outcome -> what it means for the request.
 _MEANINGS = {
-    "delivered": "the caller has the replica's whole answer",
-    "passed_on": "the replica failed, and the caller has its answer unchanged",
-    "overloaded": "the replica turned the request away, and it could not be sent to another",
-    "no_replica": "no replica took requests in the time that was left",
-    "outcome_unknown": "a run broke off; it may have run and could not be repeated",
-    "deadline_exceeded": "the time that the caller or the route allows was over",
+    "delivered": "the replica's complete answer was delivered to the caller",
+    "passed_on": "the replica failed, and its answer was passed on to the caller unchanged",
+    "overloaded": "the replica refused the request, and it could not be sent to another",
+    "no_replica": "no replica accepted requests in the remaining time",
+    "outcome_unknown": "the run broke off; the request may have run and could not be retried",
+    "deadline_exceeded": "the deadline of the caller or the route passed",
     "caller_left": "the caller closed its connection",
-    "ends_replicas": "replicas ended while they ran this request",
-    "configuration_stale": "the key could not be checked: the store's word was too old",
-    "configuration_unknown": "the daemon had just started and knew no configuration",
-    "quota_exceeded": "the tenant is over its limit",
+    "ends_replicas": "replicas crashed while they ran this request",
+    "configuration_stale": "the API key could not be checked: the configuration was too old",
+    "configuration_unknown": "the daemon had just started and had no configuration yet",
+    "quota_exceeded": "the tenant exceeded its quota",
     "not_found": "no route matches, and the configuration is current",
-    "unauthenticated": "the key is not known, and the configuration is current",
-    "stopping": "the daemon was stopping",
+    "unauthenticated": "the API key is unknown, and the configuration is current",
+    "stopping": "the daemon was shutting down",
 }
+#: Value of ``repeat_denied`` -> why the request was not retried.
 _DENIALS = {
     "sends": "it was sent to as many replicas as its route allows",
     "time": "no time was left",
-    "budget": "the budget of repeats was spent",
+    "budget": "the retry budget was exhausted",
 }
 
 
 class RequestExplanation(msgspec.Struct, frozen=True):
-    """The events that tell of a request, in order, and what they come to."""
+    """The events related to a request, in order of time, and what its outcome means."""
 
     request_id: str
     events: tuple[LoggedEvent, ...]
@@ -65,18 +66,18 @@
 
 
 def explain_request(events: Iterable[LoggedEvent], request_id: str) -> RequestExplanation | None:
-    """Return what is logged of a request; None where no line names it."""
+    """Return the explanation of a request, or None if no event has its id."""
     known = sorted(events, key=lambda event: event.at_s)
     own = [event for event in known if event.field("id") == request_id]
     if not own:
         return None
-    around = _RelatedEvents(own)
-    told = [event for event in known if around.includes(event)]
-    return RequestExplanation(request_id, tuple(told), _meaning(own))
+    selection = _RelatedEvents(own)
+    related = [event for event in known if selection.includes(event)]
+    return RequestExplanation(request_id, tuple(related), _meaning(own))
 
 
 class _RelatedEvents:
-    """What may have decided about a request: its own events, and others of its daemon."""
+    """Selects a request's own events, and those of its daemon that may have affected it."""
 
     def __init__(self, own: Sequence[LoggedEvent]) -> None:
         self._request_id = own[0].field("id")
@@ -86,7 +87,7 @@
         self._replicas = {event.field("replica") for event in own} - {""}
 
     def includes(self, event: LoggedEvent) -> bool:
-        """Whether an event is among them."""
+        """Return whether an event is related to the request."""
         if event.field("id"):
             return event.field("id") == self._request_id
         if event.source != self._source or not self._from_s <= event.at_s <= self._until_s:
@@ -98,13 +99,13 @@
     last = own[-1]
     outcome = last.field("outcome") or last.field("code")
     if not outcome:
-        return "it has not ended as far as these lines go"
+        return "the request has not ended in these logs"
     texts = (text for start, text in _MEANINGS.items() if outcome.startswith(start))
     meaning = next(texts, outcome)
     denial = _DENIALS.get(last.field("repeat_denied"), "")
     parts = [meaning]
     if denial and not outcome.startswith("delivered"):
-        parts.append(f"not repeated: {denial}")
+        parts.append(f"not retried: {denial}")
     if last.field("reason"):
         parts.append(last.field("reason"))
     return "; ".join(parts)
--- a/winchfork/cli/log_reading.py
+++ b/winchfork/cli/log_reading.py
@@ -1,4 +1,4 @@
-"""Reads the lines that :mod:`winchfork.logs` writes back into typed events."""
+"""Parses log lines written by :mod:`winchfork.logs` into typed events."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 import msgspec
 
-#: A key and its value: a JSON string, or a plain token.
+#: A key and its value, which is a JSON string or a plain token.
 _PAIR = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|\S+)')
 _START = "time="
 
 
 class LoggedEvent(msgspec.Struct, frozen=True):
-    """One line: when it was written, in seconds since 1970, by which source, and its fields."""
+    """One log line: Unix time in seconds, source (the log's name), event name and fields."""
 
     at_s: float
     source: str
@@ -23,14 +23,14 @@
     fields: dict[str, str]
 
     def field(self, key: str) -> str:
-        """Return a field's value; empty where the event has none of that name."""
+        """Return a field's value, or an empty string if the event does not have the field."""
         return self.fields.get(key, "")
 
 
 def read_events(source: str, lines: Iterable[str]) -> Iterator[LoggedEvent]:
-    """Return the events among the lines of one source; other lines are passed over.
+    """Yield the events in the lines of one source, skipping lines of other programs.
 
-    A collector may have put something before a line, such as the name of a machine.
+    A prefix before ``time=``, such as a host name added by a log collector, is ignored.
     """
     for line in lines:
         event = _read_line(source, line)
--- a/winchfork/cli/main.py
+++ b/winchfork/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line: one subcommand a duty, each with --help."""
+"""Entry point of the command line; every subcommand has ``--help``."""
 
 from __future__ import annotations
 
@@ -9,8 +9,7 @@
 
 from winchfork import __version__
 
-#: Modules of the subcommands. Only the one asked for is imported, since a daemon that is started
-#: again should serve at once and needs none of the stand-ins, plots or experiments.
+#: Subcommand -> module. Only the requested one is imported, so that a daemon starts fast.
 _MODULE_OF_COMMAND = {
     "serve": "serve_command",
     "config": "operator_commands",
@@ -27,11 +26,11 @@
 
 
 def build_parser(command: str = "") -> argparse.ArgumentParser:
-    """Return the parser of the module that has ``command``, or of every subcommand."""
+    """Return a parser for the subcommands of ``command``'s module, or for all if it is unknown."""
     parser = argparse.ArgumentParser(
         prog="winchfork",
         description="A router for language-model traffic with long shared prompts.",
-        epilog="Try it: winchfork dev. Exit codes: 0 done, 1 failed, 2 wrong usage or settings.",
+        epilog="Try it: winchfork dev. Exit codes: 0 success, 1 failure, 2 bad usage or settings.",
     )
     parser.add_argument("--version", action="version", version=f"winchfork {__version__}")
     commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
@@ -42,7 +41,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run one command and return its exit code."""
+    """Run one command and return its exit code; 130 after Ctrl-C."""
     words = list(sys.argv[1:] if arguments is None else arguments)
     parsed = build_parser(words[0] if words else "").parse_args(words)
     try:
--- a/winchfork/cli/operator_commands.py
+++ b/winchfork/cli/operator_commands.py
@@ -1,4 +1,4 @@
-"""`winchfork config`, `status`, `drain`, `explain` and `rollout`: the operators' commands."""
+"""`winchfork config`, `status`, `drain`, `explain`, `plot` and `rollout`: operator commands."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
     apply = actions.add_parser(
         "apply",
         help="put a configuration in force",
-        description="Stores a JSON configuration. It is accepted only on top of the revision you "
-        "name, so that two operators cannot overwrite each other.",
+        description="Stores a JSON configuration. It is accepted only if the stored revision is "
+        "the one it builds on, so that operators cannot overwrite each other's changes.",
     )
     apply.add_argument("file", help="JSON file, or - for standard input")
     apply.add_argument(
@@ -45,9 +45,9 @@
     diff.add_argument("file", help="JSON file, or - for standard input")
     _connect(diff, _diff)
     _connect(commands.add_parser("status", help="show members, back ends and panels"), _status)
-    drain = commands.add_parser("drain", help="take a back end off new work")
+    drain = commands.add_parser("drain", help="stop sending new requests to a back end")
     drain.add_argument("replica", help="the back end's id, as in `winchfork status`")
-    drain.add_argument("--undo", action="store_true", help="give it work again")
+    drain.add_argument("--undo", action="store_true", help="send it requests again")
     _connect(drain, _drain)
     explain = commands.add_parser("explain", help="show every decision about a request")
     explain.add_argument("request_id", help="the X-Request-Id of the answer")
@@ -55,21 +55,23 @@
         "--log",
         action="append",
         metavar="FILE",
-        help="a router's log, in place of asking a daemon; may be given again",
+        help="read this router log instead of querying a daemon; repeatable",
     )
     _connect(explain, _explain)
-    plot = commands.add_parser("plot", help="draw a day from routers' logs")
+    plot = commands.add_parser("plot", help="plot a day from routers' logs")
     plot.add_argument(
-        "--log", action="append", required=True, metavar="FILE", help="may be given again"
+        "--log", action="append", required=True, metavar="FILE", help="a router log; repeatable"
     )
-    plot.add_argument("--out", default="day.png", metavar="FILE", help="the picture (day.png)")
+    plot.add_argument("--out", default="day.png", metavar="FILE", help="image (default: day.png)")
     plot.set_defaults(run=plot_logs)
     rollout = commands.add_parser("rollout", help="roll new weights over a pool")
     steps = rollout.add_subparsers(dest="action", required=True, metavar="ACTION")
     start = steps.add_parser("start", help="start a rollout")
     start.add_argument("pool")
-    start.add_argument("version", type=int, help="weights version, higher than the present one")
-    start.add_argument("--max-loading", type=int, default=1, help="replicas loading at once")
+    start.add_argument("version", type=int, help="weights version, higher than the current one")
+    start.add_argument(
+        "--max-loading", type=int, default=1, help="maximum replicas loading at a time"
+    )
     _connect(start, _start_rollout)
     progress = steps.add_parser("status", help="show a rollout's progress")
     progress.add_argument("pool")
@@ -250,8 +252,9 @@
         print(f"+{step['at_s'] - started_s:8.4f} s  {step['step']}: {step['reason']}  {shown}")
         for item in candidates:
             print(
-                f"              weighed {item['replica']}: {item['cached_blocks']} cached blocks, "
-                f"wait {item['wait_s']} s, prefill {item['prefill_s']} s, cost {item['cost']}"
+                f"              candidate {item['replica']}: "
+                f"{item['cached_blocks']} cached blocks, wait {item['wait_s']} s, "
+                f"prefill {item['prefill_s']} s, cost {item['cost']}"
             )
     return EXIT_OK
 
--- a/winchfork/cli/serve_command.py
+++ b/winchfork/cli/serve_command.py
@@ -1,4 +1,4 @@
-"""`winchfork serve`: one daemon."""
+"""`winchfork serve`: runs one daemon."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     parser = commands.add_parser(
         "serve",
         help="run one daemon",
-        description="Runs one daemon until SIGTERM, which is a planned stop: it takes no new work, "
-        "every running request finishes, and the exit code is 0. Flags override the file.",
+        description="Runs one daemon until SIGTERM or SIGINT, then shuts it down: it accepts no "
+        "new requests, running requests finish, and the exit code is 0. Options override the file.",
     )
     parser.add_argument("--settings", required=True, metavar="FILE", help="settings in TOML")
     parser.add_argument("--id", help="daemon.id")
@@ -34,7 +34,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Run the daemon."""
+    """Run the daemon until a signal stops it; return the exit code."""
     overrides = {
         "daemon.id": arguments.id,
         "daemon.zone": arguments.zone,
