--- a/winchfork/emulator/__init__.py
+++ b/winchfork/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for engines and platform, workloads, and virtual-time experiments."""
+"""Emulated engines and platform, workloads, a load tool and virtual-time experiments."""
--- a/winchfork/emulator/application_server.py
+++ b/winchfork/emulator/application_server.py
@@ -1,7 +1,7 @@
-"""An emulated application back end: runs whatever it is sent and counts executions by body.
+"""An emulated application back end (such as a command relay), which counts executions by body.
 
-Paths: any ``POST`` or ``GET`` below ``/app/``, ``POST /application/faults``,
-``GET /application/executions``. A command relay is such a back end.
+Paths: ``POST /application/faults``, ``GET /application/executions``; a request to any other path
+is executed and answered with its body and path.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class ApplicationServer:
-    """One application replica on an address of its own."""
+    """One application replica, listening on its own address."""
 
     def __init__(self, address: str) -> None:
         self._executions: dict[str, int] = {}
@@ -35,11 +35,11 @@
         return f"http://{self._server.address}"
 
     def start(self) -> None:
-        """Serve on threads of its own."""
+        """Start serving on background threads."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop without waiting for running requests."""
         self._server.stop(wait=False)
 
     def executions(self) -> dict[str, int]:
@@ -48,7 +48,7 @@
             return dict(self._executions)
 
     def lose_answers(self, count: int) -> None:
-        """Lose the answers of the next ``count`` requests after executing them."""
+        """Execute the next ``count`` requests, but close their connections without an answer."""
         with self._lock:
             self._lose_answers = count
 
@@ -69,7 +69,7 @@
         time.sleep(self._delay_s)
         if lose:
             request.environ["winchfork.socket"].close()
-            raise ConnectionResetError("answer lost by injection")
+            raise ConnectionResetError("injected fault: answer lost")
         return json_response({"executed": body, "path": request.path})
 
     def _inject(self, request: Request) -> Response:
--- a/winchfork/emulator/capacity.py
+++ b/winchfork/emulator/capacity.py
@@ -1,4 +1,7 @@
-"""Measures the slopes behind docs/CAPACITY.md: what each role costs, at several sizes."""
+"""Measures the figures in docs/CAPACITY.md: memory, traffic and processor time per role and size.
+
+Each size series is fitted with a line, whose slope is the cost per unit of size.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +29,7 @@
 from winchfork.emulator.hollow import HollowRegion
 from winchfork.errors import Failure
 
-#: Daemons in a region; the target has 140.
+#: Daemons in a region.
 CAPACITY_SIZES = (20, 40, 80, 140)
 _WARM_UP_S = 12.0
 _MEASURED_S = 10.0
@@ -37,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Line:
-    """A least-squares line: value = intercept + slope * size, with the share explained."""
+    """A least-squares line: value = intercept + slope * size, with its R squared."""
 
     intercept: float
     slope: float
@@ -49,7 +52,7 @@
 
 
 def fit_line(points: list[tuple[float, float]]) -> Line:
-    """Fit a line by least squares."""
+    """Fit a line to (x, y) points by least squares."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
@@ -62,7 +65,7 @@
 
 
 def measure_capacity(sizes: tuple[int, ...] = CAPACITY_SIZES) -> dict[str, Any]:
-    """Measure every role; times in seconds of processor time of this machine."""
+    """Run every measurement; times are seconds of processor time on this machine."""
     return {
         "sizes": list(sizes),
         "datagram_s": measure_datagram_cost(),
@@ -84,7 +87,10 @@
 
 
 def measure_membership(daemons: int) -> dict[str, float]:
-    """Per daemon and second in steady state, with every replica's load changing once a second."""
+    """Measure gossip traffic per daemon and second in steady state.
+
+    Every replica's load changes once a second.
+    """
     region = HollowRegion(daemons, int(daemons * _REPLICAS_PER_DAEMON), seed=1)
     region.run(_WARM_UP_S)
     region.reset_traffic()
@@ -109,7 +115,7 @@
 
 
 def measure_configuration(daemons: int) -> dict[str, float]:
-    """How long one change takes to be in force everywhere, and what it costs a daemon."""
+    """Measure how long a configuration takes to reach every daemon, and the bytes it costs each."""
     region = HollowRegion(daemons, 0, seed=2)
     region.run(_WARM_UP_S)
     region.reset_traffic()
@@ -131,7 +137,7 @@
 
 
 def measure_failure(daemons: int) -> dict[str, float]:
-    """How soon every daemon knows that one died, and that it is back."""
+    """Measure how soon every daemon detects a crashed daemon, its return, and a crashed rack."""
     region = HollowRegion(daemons, 0, seed=3)
     region.run(_WARM_UP_S)
     victim = region.daemons[7]
@@ -173,7 +179,7 @@
 
 
 def measure_region_cut(daemons: int) -> dict[str, float]:
-    """A quarter of the region (a zone) cut off for a minute, then back."""
+    """Measure a zone (a quarter of the region) that is cut off for a minute, then reconnected."""
     region = HollowRegion(daemons, 0, seed=4)
     region.run(_WARM_UP_S)
     region.reset_traffic()
@@ -205,7 +211,7 @@
 
 
 def measure_datagram_cost() -> float:
-    """Processor seconds to send and receive one datagram of 600 bytes on loopback."""
+    """Return the processor seconds to send and receive one datagram of 600 bytes on loopback."""
     with (
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver,
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender,
@@ -225,14 +231,14 @@
 
 
 def _chains(blocks: int, generator: random.Random) -> list[tuple[int, ...]]:
-    """Chains of 30 blocks, as prompts leave them."""
+    """Return random chains of 30 block keys each, with ``blocks`` keys in total."""
     return [
         tuple(generator.getrandbits(63) for _ in range(30)) for _ in range(max(1, blocks // 30))
     ]
 
 
 def measure_index(blocks: int) -> dict[str, float]:
-    """Memory of the index with ``blocks`` beliefs over 200 replicas."""
+    """Measure the memory of the cache index with ``blocks`` entries over 200 replicas."""
     generator = random.Random(5)
     chains = _chains(blocks, generator)
     tracemalloc.start()
@@ -241,14 +247,14 @@
         index.assume_stored(f"replica-{number % 200}", 1, chain)
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    # The keys themselves live in the chains above; in the daemon they arrive with the event and
-    # live on in the index, so their 32 bytes each belong to it.
+    # The keys were allocated with the chains above, before tracing. In a daemon the index owns
+    # them, so their 32 bytes each are added.
     count = len(index)
     return {"blocks": count, "bytes": used + 32 * count, "bytes_per_block": used / count + 32}
 
 
 def measure_reader(blocks: int) -> dict[str, float]:
-    """Memory of a reader's block families."""
+    """Measure the memory of the block families that a replica's event reader holds."""
     generator = random.Random(6)
     chains = _chains(blocks, generator)
     tracemalloc.start()
@@ -262,13 +268,13 @@
 
 
 class _PlainIndex:
-    """The simplest index, to compare with: a dict of sets, no fences, no gaps."""
+    """A baseline index: a dict of sets, without fencing and gap detection."""
 
     def __init__(self) -> None:
         self.holders: dict[int, set[str]] = {}
 
     def apply(self, replica_id: str, event: CacheEvent) -> None:
-        """Fold one event."""
+        """Apply one event."""
         for key in event.block_keys:
             if event.kind is EventKind.STORED:
                 self.holders.setdefault(key, set()).add(replica_id)
@@ -287,7 +293,10 @@
 
 
 def measure_event_cost() -> dict[str, float]:
-    """Processor time to fold events of 4 blocks, against the plain index; and to forward them."""
+    """Measure the processor time to apply and to forward events of 4 blocks.
+
+    The cost of applying them is compared with that of the baseline index.
+    """
     generator = random.Random(7)
     runs = [tuple(generator.getrandbits(63) for _ in range(4)) for _ in range(40_000)]
     events: list[CacheEvent] = []
@@ -309,21 +318,23 @@
     plain_s = (time.process_time() - started) / len(events)
     started = time.process_time()
     families = FamilyMap()
-    notes = 0
-    note_bytes = 0
+    updates = 0
+    update_bytes = 0
     for start in range(0, len(events), 58):
-        # One poll: the events of 0.2 s at 286 a second, folded and cut into one note an owner.
+        # One poll: the events of 0.2 s at 286 a second, merged into one update per owner.
         batch = events[start : start + 58]
         folded = families.apply_events(batch)
         by_owner: dict[int, tuple[list[int], list[int]]] = {}
         for key, stored in folded.items():
-            held, gone = by_owner.setdefault(families.owner_key(key) % 8, ([], []))
-            (held if stored else gone).append(key)
-        for held, gone in by_owner.values():
-            datagram = _CODEC.encode(CacheUpdate("replica-0", 1, tuple(held), tuple(gone)))
+            cached, removed_keys = by_owner.setdefault(families.owner_key(key) % 8, ([], []))
+            (cached if stored else removed_keys).append(key)
+        for cached, removed_keys in by_owner.values():
+            datagram = _CODEC.encode(
+                CacheUpdate("replica-0", 1, tuple(cached), tuple(removed_keys))
+            )
             assert isinstance(datagram, bytes)
-            notes += 1
-            note_bytes += len(datagram)
+            updates += 1
+            update_bytes += len(datagram)
     forward_s = (time.process_time() - started) / len(events)
     raw = cbor2.dumps([[e.sequence, e.kind.value, list(e.block_keys)] for e in events[:1000]])
     return {
@@ -332,13 +343,13 @@
         "ratio_to_plain": ours_s / plain_s,
         "events_per_core_second": 1 / ours_s,
         "forward_s_per_event": forward_s,
-        "forward_bytes_per_event": note_bytes / len(events),
+        "forward_bytes_per_event": update_bytes / len(events),
         "raw_bytes_per_event": len(raw) / 1000,
     }
 
 
 def measure_lookup_cost() -> dict[str, float]:
-    """One lookup of a 30-block prompt at its owner: bytes and processor time of both ends."""
+    """Measure the bytes and the processor time (both ends) of one lookup of a 30-block prompt."""
     generator = random.Random(8)
     chains = _chains(60_000, generator)
     index = CacheIndex()
@@ -351,8 +362,8 @@
     for number in range(count):
         request = _CODEC.encode(LookupRequest(number, chains[number % len(chains)]))
         assert isinstance(request, bytes)
-        heard = _decoded(request)
-        reply = _CODEC.encode(LookupReply(number, index.match(heard.block_keys)))
+        received = _decoded(request)
+        reply = _CODEC.encode(LookupReply(number, index.match(received.block_keys)))
         assert isinstance(reply, bytes)
         _CODEC.decode(reply)
         request_bytes += len(request)
@@ -368,7 +379,7 @@
 
 
 def measure_placement(replicas: int) -> dict[str, float]:
-    """One decision for a 30-block prompt: processor time and memory allocated."""
+    """Measure one placement of a 30-block prompt: processor time and peak memory allocated."""
     generator = random.Random(9)
     candidates = [
         Replica(
@@ -406,7 +417,7 @@
 
 
 def measure_claim_cost() -> dict[str, float]:
-    """One claim with three voters: bytes, messages, processor time over all; state a vote."""
+    """Measure one claim with three voters: bytes, messages, processor time, memory per vote."""
     panel = VoterPanel("p0", 1, ("a", "b", "c"))
     voters = [ClaimVoter(name, 1, 0.0, panel) for name in panel.voters]
     for voter in voters:
@@ -443,7 +454,7 @@
 
 
 def measure_decision_log() -> dict[str, float]:
-    """Memory of the decision log for one request of five steps."""
+    """Measure the memory of the decision log for one request of five steps."""
     tracemalloc.start()
     log = DecisionLog(5_000)
     for number in range(5_000):
@@ -462,7 +473,7 @@
 
 
 def render_capacity(report: dict[str, Any]) -> str:
-    """Return the measurements as text, each table with its fitted lines."""
+    """Return the measurements as text, with the fitted lines below each size series."""
     lines: list[str] = []
     for name in ("membership", "configuration", "index", "reader", "placement"):
         rows = report[name]
--- a/winchfork/emulator/comparison.py
+++ b/winchfork/emulator/comparison.py
@@ -1,4 +1,4 @@
-"""Compares policies over the same seeds: a table with confidence, ratios, and a plot."""
+"""Compares policies over the same seeds: a table with confidence intervals, ratios, and a plot."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from winchfork.emulator.experiment import ORACLE
 
-#: Two-sided 95 % quantiles of Student's t by degrees of freedom.
+#: Two-sided 95 % quantiles of Student's t by degrees of freedom; ``_T95_MANY`` beyond the table.
 _T95 = {1: 12.71, 2: 4.30, 3: 3.18, 4: 2.78, 5: 2.57, 6: 2.45, 7: 2.36, 8: 2.31, 9: 2.26}
 _T95_MANY = 2.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Estimate:
-    """A mean over seeds with its 95 % half-width."""
+    """A mean over seeds with the half-width of its 95 % confidence interval."""
 
     mean: float
     half_width: float
@@ -25,7 +25,7 @@
 
 
 def estimate(values: list[float]) -> Estimate:
-    """Return mean and half-width; the width is 0 for a single value."""
+    """Return mean and half-width; the half-width is 0 for a single value."""
     count = len(values)
     mean = sum(values) / count
     if count < 2:
@@ -36,7 +36,7 @@
 
 
 def measures_of(report: dict[str, Any]) -> dict[str, float]:
-    """Return the figures that are compared."""
+    """Return the figures of a report that are compared, by name."""
     measures = {
         "hit_rate": report["hit_rate"],
         "wasted_share": report["wasted_share"],
@@ -54,7 +54,7 @@
 
 
 def summarize(reports: list[dict[str, Any]]) -> dict[str, dict[str, Estimate]]:
-    """Return estimates by policy and measure."""
+    """Return estimates by policy and name of figure."""
     by_policy: dict[str, list[dict[str, float]]] = {}
     for report in reports:
         by_policy.setdefault(report["options"]["policy"], []).append(measures_of(report))
@@ -76,7 +76,7 @@
 
 
 def compare_with_baselines(summary: dict[str, dict[str, Estimate]], product: str) -> list[str]:
-    """Say how the product's policy stands against the oracle and the best baseline."""
+    """Return a line per figure that compares ``product`` with the oracle and the best baseline."""
     if product not in summary:
         return []
     own = summary[product]
@@ -98,7 +98,7 @@
 
 
 def plot(summary: dict[str, dict[str, Estimate]], path: str, title: str) -> None:
-    """Write bars of hit rate, waste and tails with their confidence as a PNG."""
+    """Plot hit rate, wasted share and p99 latencies with confidence intervals to ``path``."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -117,7 +117,7 @@
         axis.barh(policies, means, xerr=widths)
         axis.set_title(name)
         if name.endswith("_s"):
-            # Tails differ by orders of magnitude between policies.
+            # Tail latencies differ by orders of magnitude between policies.
             axis.set_xscale("log")
         axis.invert_yaxis()
     figure.suptitle(title)
--- a/winchfork/emulator/dev.py
+++ b/winchfork/emulator/dev.py
@@ -31,7 +31,7 @@
         return f"127.0.0.1:{free_port(kind=kind)}"
     with socket.socket(socket.AF_INET, kind) as probe:
         if kind is socket.SOCK_STREAM:
-            # As the servers do, so that a port left by an earlier run counts as free.
+            # As the servers do, so that a port in TIME_WAIT from an earlier run counts as free.
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             probe.bind(("127.0.0.1", preferred_port))
@@ -41,7 +41,7 @@
 
 
 class EmulatedPlatform:
-    """The stand-ins of one deployment, without daemons."""
+    """The emulated platform, engines and applications of one deployment, without daemons."""
 
     def __init__(self, deployment: Deployment, platform_address: str = "127.0.0.1:0") -> None:
         self.deployment = deployment
@@ -56,7 +56,7 @@
         ]
 
     def start(self) -> None:
-        """Start the stand-ins and list their machines."""
+        """Start every server and add it to the platform's machine list."""
         self.platform.start()
         for number, engine in enumerate(self.engines):
             engine.start()
@@ -68,7 +68,7 @@
             )
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop every server without waiting for running requests."""
         for engine in self.engines:
             engine.stop()
         for application in self.applications:
@@ -82,7 +82,7 @@
 
 
 class DevFleet:
-    """Daemons of one deployment on loopback, one a zone."""
+    """The daemons of one deployment on loopback, one per zone."""
 
     def __init__(self, emulated: EmulatedPlatform, first_port: int = 0, policy: str = "") -> None:
         self._emulated = emulated
@@ -98,7 +98,10 @@
         self.daemons: list[Daemon | None] = [None] * count
 
     def start(self) -> Failure | None:
-        """Start every daemon, apply the configuration, and wait until commands can run."""
+        """Start every daemon, apply the configuration, and wait until all are ready.
+
+        Return the failure if a daemon does not start, or not all are ready in time.
+        """
         for number in range(len(self.settings)):
             failure = self.start_daemon(number)
             if failure is not None:
@@ -107,7 +110,7 @@
         return failure or self._wait_until_ready()
 
     def start_daemon(self, number: int) -> Failure | None:
-        """Start (again) the daemon of a zone."""
+        """Start or restart the daemon of zone ``number``."""
         daemon = build_daemon(self.settings[number])
         if isinstance(daemon, Failure):
             return daemon
@@ -116,7 +119,7 @@
         return None
 
     def stop(self) -> None:
-        """Stop every daemon as planned."""
+        """Shut down every daemon, letting running requests finish."""
         for daemon in self.daemons:
             if daemon is not None:
                 daemon.stop()
@@ -126,7 +129,7 @@
         return [daemon for daemon in self.daemons if daemon is not None]
 
     def operator(self, number: int = 0) -> OperatorClient:
-        """Return an operator's client of one daemon."""
+        """Return an operator client connected to one daemon."""
         return OperatorClient(self.settings[number].daemon.rpc_address, OPERATOR_TOKEN)
 
     def _apply_configuration(self) -> Failure | None:
--- a/winchfork/emulator/engine_model.py
+++ b/winchfork/emulator/engine_model.py
@@ -1,7 +1,8 @@
 """Model of an inference engine: continuous batching, chunked prefill, a prefix cache, priorities.
 
-No I/O and no clock: ``plan_step`` says how long the next batch takes and ``finish_step`` applies
-it, so the same model runs in real time behind HTTP and in virtual time in the experiments.
+It does no I/O and reads no clock: ``plan_step`` returns the next batch and its duration, and
+``finish_step`` applies it. The same model runs in real time behind HTTP and in virtual time in
+experiments.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from winchfork.core.fleet import ReplicaIdentity, ReplicaLoad, is_urgent
 from winchfork.core.prefix import BlockKey
 
-_EVENTS_KEPT = 20_000
+_MAX_EVENTS = 20_000
 
 
 @dataclasses.dataclass(frozen=True)
@@ -34,7 +35,7 @@
 
 @dataclasses.dataclass
 class Sequence:
-    """One generation inside the engine."""
+    """One generation in the engine; ``cached_blocks`` is -1 until it has started."""
 
     sequence_id: str
     block_keys: tuple[BlockKey, ...]
@@ -50,7 +51,7 @@
 
     @property
     def prefill_left(self) -> int:
-        """Prompt tokens still to compute."""
+        """Prompt tokens still to prefill."""
         return self.prompt_tokens - self.prefilled_tokens
 
     @property
@@ -61,7 +62,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class StepPlan:
-    """One batch: prefill tokens by sequence, decoding sequences, and its duration."""
+    """One batch: its duration, prefill tokens by sequence, and decoding sequences.
+
+    ``decode_tokens`` is the number of tokens that each decoding sequence generates.
+    """
 
     duration_s: float
     prefill: tuple[tuple[Sequence, int], ...]
@@ -79,7 +83,7 @@
 
 
 class BlockCache:
-    """Prefix blocks in least-recently-used order; blocks in use are not evicted."""
+    """Prefix blocks in least-recently-used order; pinned blocks are not evicted."""
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
@@ -128,7 +132,7 @@
             self._in_use -= count == 1
 
     def store(self, key: BlockKey, parent: BlockKey) -> list[BlockKey] | None:
-        """Add a pinned block; return what was evicted, or None when all others are pinned."""
+        """Add a pinned block; return the evicted keys, or None if every block is pinned."""
         evicted: list[BlockKey] = []
         if len(self._blocks) >= self._capacity:
             victim = next((known for known, count in self._blocks.items() if count == 0), None)
@@ -144,7 +148,10 @@
 
 
 class EngineModel:
-    """One replica. Not thread-safe."""
+    """One engine replica. Not thread-safe.
+
+    ``on_stored`` is called with the keys of blocks that were computed (not imported).
+    """
 
     def __init__(
         self,
@@ -160,16 +167,16 @@
         self.running: list[Sequence] = []
         self.computed_prefill_tokens = 0
         self.imported_blocks = 0
-        self._events: deque[tuple[float, CacheEvent]] = deque(maxlen=_EVENTS_KEPT)
+        self._events: deque[tuple[float, CacheEvent]] = deque(maxlen=_MAX_EVENTS)
         self._next_sequence = 1
 
     def submit(self, sequence: Sequence) -> None:
-        """Queue a generation by priority, then arrival."""
+        """Queue a generation, ordered by priority, then arrival."""
         self.waiting.append(sequence)
         self.waiting.sort(key=lambda item: (item.priority, item.arrived_s))
 
     def cancel(self, sequence_id: str) -> bool:
-        """Drop a generation; False when it is not here."""
+        """Drop a generation; return False if there is none with this id."""
         for queue in (self.waiting, self.running):
             for sequence in queue:
                 if sequence.sequence_id == sequence_id:
@@ -179,7 +186,7 @@
         return False
 
     def crash(self) -> None:
-        """Come back empty under the next incarnation."""
+        """Restart with an empty cache under the next incarnation."""
         self.identity = ReplicaIdentity(
             self.identity.incarnation + 1, self.identity.weights_version
         )
@@ -190,7 +197,7 @@
         self._next_sequence = 1
 
     def import_blocks(self, keys: tuple[BlockKey, ...], now_s: float) -> int:
-        """Store copied leading blocks of a chain, unpinned; return how many are now held."""
+        """Store copied leading blocks of a chain, unpinned; return how many are cached now."""
         stored: list[BlockKey] = []
         evicted: list[BlockKey] = []
         held = self.cache.match(keys)
@@ -217,7 +224,7 @@
         return len(pinned)
 
     def load_weights(self, version: int, now_s: float) -> list[Sequence]:
-        """Switch weights: cached blocks belong to the old ones and go; return what was aborted."""
+        """Switch to other weights: drop the cache, and abort and return all generations."""
         aborted = [*self.waiting, *self.running]
         self.waiting.clear()
         self.running.clear()
@@ -255,7 +262,7 @@
         return self._next_sequence
 
     def events_after(self, sequence: int, published_before_s: float) -> tuple[CacheEvent, ...]:
-        """Return the kept events after ``sequence`` that are old enough to be visible."""
+        """Return events after ``sequence``, published by ``published_before_s``, oldest first."""
         found: list[CacheEvent] = []
         for at_s, event in reversed(self._events):
             if event.sequence <= sequence:
@@ -265,7 +272,11 @@
         return tuple(reversed(found))
 
     def plan_step(self, now_s: float, max_decode_tokens: int = 1) -> StepPlan | None:
-        """Compose the next batch; None when there is nothing to do."""
+        """Compose the next batch; return None if no sequence is running.
+
+        If nothing waits and nothing is to be prefilled, the batch may decode up to
+        ``max_decode_tokens`` tokens per sequence.
+        """
         self._schedule(now_s)
         if not self.running:
             return None
@@ -281,8 +292,8 @@
                 budget -= tokens
         decode_tokens = 1
         if not prefill and not self.waiting:
-            left = min(sequence.output_tokens - sequence.generated for sequence in decode)
-            decode_tokens = max(1, min(max_decode_tokens, left))
+            remaining = min(sequence.output_tokens - sequence.generated for sequence in decode)
+            decode_tokens = max(1, min(max_decode_tokens, remaining))
         step_s = self.settings.step_base_s + self.settings.step_per_sequence_s * len(decode)
         prefill_tokens = sum(tokens for _, tokens in prefill)
         duration_s = step_s * decode_tokens + prefill_tokens / self.settings.prefill_tokens_per_s
@@ -315,7 +326,7 @@
         return TokensOut(sequence, offset, count)
 
     def _schedule(self, now_s: float) -> None:
-        """Start waiting sequences, preempting less urgent ones when every place is taken."""
+        """Start waiting sequences, preempting less urgent ones if ``max_running`` are running."""
         while self.waiting:
             head = self.waiting[0]
             if len(self.running) >= self.settings.max_running and not self._preempt_for(head):
@@ -339,7 +350,7 @@
             self.cache.acquire(key)
         sequence.cached_blocks = matched
         sequence.stored_blocks = matched
-        # At least one token is computed, since the last position yields the first output.
+        # The last prompt token is always computed, since it yields the first output token.
         sequence.prefilled_tokens = min(matched * BLOCK_TOKENS, sequence.prompt_tokens - 1)
         self.running.append(sequence)
         self.running.sort(key=lambda item: (item.priority, item.arrived_s))
--- a/winchfork/emulator/engine_server.py
+++ b/winchfork/emulator/engine_server.py
@@ -32,11 +32,11 @@
 _IDLE_WAIT_S = 0.5
 _EXPORT_TIMEOUT_S = 1.0
 _DETACHED_GRACE_S = 5.0
-_EXECUTIONS_KEPT = 100_000
+_MAX_EXECUTIONS = 100_000
 
 
 class _Stream:
-    """One generation's stream: the batch thread writes, the handler's thread waits for the end."""
+    """One generation's stream: the batch thread writes, the handler's thread waits for its end."""
 
     def __init__(self, attempt_id: str, prompt: str, first_offset: int, total: int) -> None:
         self.attempt_id = attempt_id
@@ -48,7 +48,10 @@
         self._ended: threading.Event | None = None
 
     def attach(self, sink: DirectStream, from_offset: int) -> threading.Event:
-        """Write to ``sink`` from now on, with what was produced since; return the end's event."""
+        """Write to ``sink`` from now on, beginning with the tokens produced since ``from_offset``.
+
+        Return the event that is set when the stream ends or is detached.
+        """
         self.detach(None)
         self._sink, self._ended = sink, threading.Event()
         self.detached_at_s = None
@@ -65,12 +68,12 @@
             self._ended.set()
 
     def write(self, event: bytes) -> None:
-        """Write one event; a reader that is gone detaches the stream."""
+        """Write one event; detach the stream if the connection is closed."""
         if self._sink is not None and self._sink.send(event) is not None:
             self.detach(time.monotonic())
 
     def write_tokens(self, offset: int, count: int) -> None:
-        """Write the tokens from ``offset``; the last ones end the stream."""
+        """Write ``count`` tokens from ``offset``; end the stream after the last token."""
         text = "".join(answer_token(self.digest, index) for index in range(offset, offset + count))
         last = offset + count >= self.total
         self.write(_piece_event(self.attempt_id, offset, count, text, last))
@@ -80,7 +83,7 @@
 
 
 class EngineServer:
-    """One engine replica on an address of its own."""
+    """One engine replica, listening on its own address."""
 
     def __init__(
         self, address: str, settings: EngineSettings, *, weights_version: int = 1, seed: int = 0
@@ -115,12 +118,12 @@
         return self._model.settings
 
     def start(self) -> None:
-        """Serve and run batches on threads of its own."""
+        """Start serving and running batches on background threads."""
         self._server.start()
         threading.Thread(target=self._run_batches, daemon=True).start()
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop without waiting for running requests."""
         self._stopping = True
         with self._condition:
             self._condition.notify_all()
@@ -201,7 +204,7 @@
     def _stream_answer(
         self, stream: _Stream, from_offset: int, sequence: Sequence | None
     ) -> WsgiApplication:
-        """Return the answer that streams; ``sequence`` is started with it unless resumed."""
+        """Return the streaming answer; it submits ``sequence``, which is None for a resumed one."""
 
         def answer(environ: dict[str, Any], start_response: Any) -> list[bytes]:
             headers = [("Content-Type", "text/event-stream")]
@@ -222,10 +225,10 @@
         return answer
 
     def _import_blocks(self, wanted: dict[str, Any], sequence: Sequence) -> None:
-        """Copy leading blocks from another engine; what it does not hold is computed instead.
+        """Copy leading blocks from another engine; blocks that it has not cached are computed.
 
-        The keys chain over tenant and weights version, so an engine with older weights, or another
-        tenant's blocks, cannot match.
+        The keys chain over tenant and weights version, so blocks of other weights or of another
+        tenant cannot match.
         """
         keys = sequence.block_keys[: int(wanted.get("blocks", 0))]
         if not wanted.get("from") or not keys:
@@ -240,9 +243,9 @@
         answer = self._client.exchange(request)
         if isinstance(answer, Failure) or answer.status != 200:
             return
-        held = int(json.loads(answer.body)["held"])
+        available = int(json.loads(answer.body)["held"])
         with self._condition:
-            missing = held - self._model.cache.match(keys)
+            missing = available - self._model.cache.match(keys)
         if missing <= 0:
             return
         settings = self._model.settings
@@ -250,7 +253,7 @@
         with self._import_link:
             time.sleep(settings.import_setup_s + seconds)
         with self._condition:
-            self._model.import_blocks(keys[:held], time.monotonic())
+            self._model.import_blocks(keys[:available], time.monotonic())
 
     def _export(self, request: Request) -> Response:
         keys = tuple(int(key) for key in request.get_json()["block_keys"])
@@ -294,7 +297,7 @@
     def _record_execution(self, prompt: str) -> None:
         digest = answer_digest(prompt)
         self._executions[digest] = self._executions.get(digest, 0) + 1
-        while len(self._executions) > _EXECUTIONS_KEPT:
+        while len(self._executions) > _MAX_EXECUTIONS:
             self._executions.popitem(last=False)
 
     def _cancel(self, request: Request) -> Response:
@@ -311,13 +314,13 @@
         after = int(request.args.get("after", 0))
         with self._condition:
             visible = self._model.events_after(after, time.monotonic() - self._event_delay_s)
-            kept = [event for event in visible if not self._is_lost(event)]
+            delivered = [event for event in visible if not self._is_lost(event)]
             next_sequence = visible[-1].sequence + 1 if visible else after + 1
-            body = self._report_body(min(next_sequence, self._model.next_sequence), kept)
+            body = self._report_body(min(next_sequence, self._model.next_sequence), delivered)
         return json_response(body)
 
     def _is_lost(self, event: CacheEvent) -> bool:
-        """Lose an event for good: every reader misses the same ones."""
+        """Return whether an injected fault loses the event; if so, it is lost for all readers."""
         if event.sequence in self._lost_events:
             return True
         if self._event_loss and self._random.random() < self._event_loss:
@@ -394,7 +397,7 @@
         self._announced.clear()
 
     def _break_streams(self) -> None:
-        """Cut the connections but keep generating, so that streams can be resumed."""
+        """Close the connections but continue generating, so that streams can be resumed."""
         for stream in self._streams.values():
             stream.detach(time.monotonic())
 
--- a/winchfork/emulator/experiment.py
+++ b/winchfork/emulator/experiment.py
@@ -1,4 +1,4 @@
-"""Runs one experiment: a profile, a policy, a seed and faults, in virtual time."""
+"""Runs one experiment in virtual time: a workload profile, a policy, a seed and faults."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from winchfork.emulator.workload import DEPLOYMENTS, Deployment, make_workload
 from winchfork.errors import Failure, FailureKind
 
-#: The bound: winchfork's own cost with perfect, instant knowledge. Not a product policy.
+#: Upper bound for comparisons: the default policy with perfect, instant knowledge.
 ORACLE = "oracle"
 _FAULT_S = 20.0
 _DRAIN_S = 600.0
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """A fault by name at a time of the run."""
+    """A fault, by its name in ``FAULTS``, and the virtual time in seconds at which it begins."""
 
     name: str
     at_s: float
@@ -49,14 +49,14 @@
 
 
 def _engine_crash(fleet: SimFleet) -> Any:
-    """Two engines crash and come back empty."""
+    """Crash two engines, which restart with empty caches."""
     for engine in list(fleet.engines.values())[:2]:
         engine.crash()
     yield fleet.env.timeout(0)
 
 
 def _zone_cut(fleet: SimFleet) -> Any:
-    """The last zone is cut off, then comes back."""
+    """Cut off the last zone for a while."""
     zone = fleet.deployment.zones[-1]
     fleet.cut_zones.add(zone)
     yield fleet.env.timeout(_FAULT_S)
@@ -64,21 +64,21 @@
 
 
 def _herd_restart(fleet: SimFleet) -> Any:
-    """Every daemon forgets beliefs and loads at once."""
+    """Restart all daemons at once, so that they lose their cache index and loads."""
     for daemon in fleet.daemons:
         daemon.reset(list(fleet.engines.values()))
     yield fleet.env.timeout(0)
 
 
 def _stale_events(fleet: SimFleet) -> Any:
-    """Events come seconds late and a third is lost, for a while."""
+    """Delay cache events and lose a share of them, for a while."""
     fleet.event_faults = EventFaults(_STALE_LOSS, _STALE_DELAY_S)
     yield fleet.env.timeout(_FAULT_S)
     fleet.event_faults = EventFaults()
 
 
 def _rollout(fleet: SimFleet) -> Any:
-    """New weights over the whole pool, as many at once as load without slowing each other."""
+    """Load new weights on the whole pool, ``max_loading`` engines at a time."""
     engines = list(fleet.engines.values())
     at_once = fleet.deployment.max_loading
     for start in range(0, len(engines), at_once):
@@ -103,7 +103,7 @@
 
 
 def parse_fault(text: str) -> Fault | Failure:
-    """Read `NAME@SECONDS`."""
+    """Parse `NAME@SECONDS`."""
     name, _, at = text.partition("@")
     try:
         at_s = float(at)
@@ -117,12 +117,12 @@
 
 
 def policy_names() -> list[str]:
-    """Return every policy an experiment can run, the oracle last."""
+    """Return the names of all policies that an experiment can run, the oracle last."""
     return [*POLICIES, ORACLE]
 
 
 def run_experiment(options: ExperimentOptions) -> dict[str, Any]:
-    """Run and return the report; the same options give the same figures."""
+    """Run and return the report; equal options give equal figures, except ``wall_s``."""
     deployment = DEPLOYMENTS[options.profile]
     wall_s = time.perf_counter()
     env = make_environment()
--- a/winchfork/emulator/free_ports.py
+++ b/winchfork/emulator/free_ports.py
@@ -1,7 +1,7 @@
-"""Ports for listeners that are named before they are bound.
+"""Picks ports for listeners whose address must be known before they bind.
 
-A port that the system hands out for port 0 may be taken by an outgoing connection between being
-named and being bound. Ports below the range of outgoing connections are only taken by listeners.
+Ports are picked below the ephemeral range, so that no outgoing connection can take one before it
+is bound.
 """
 
 from __future__ import annotations
@@ -9,16 +9,16 @@
 import random
 import socket
 
-#: Below the usual range of ports of outgoing connections (32,768 and up).
+#: Below the usual ephemeral range (32,768 and up).
 FIRST_PORT = 20_000
 LAST_PORT = 32_000
-_TRIES = 200
+_MAX_ATTEMPTS = 200
 
 
 def free_port(ip: str = "127.0.0.1", kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
-    """Return a port of ``ip`` that no listener holds now."""
+    """Return a port of ``ip`` that is not bound now; raise OSError if none is found."""
     generator = random.SystemRandom()
-    for _ in range(_TRIES):
+    for _ in range(_MAX_ATTEMPTS):
         port = generator.randrange(FIRST_PORT, LAST_PORT)
         with socket.socket(socket.AF_INET, kind) as probe:
             try:
@@ -30,10 +30,9 @@
 
 
 def free_ports(count: int, ip: str = "127.0.0.1") -> list[int]:
-    """Return different ports of ``ip`` that no listener holds now.
+    """Return ``count`` different ports of ``ip`` that are not bound now.
 
-    One that was handed out is free until it is bound: asked twice, :func:`free_port` may hand it
-    out twice.
+    Separate calls of :func:`free_port` may return the same port until it is bound.
     """
     ports: set[int] = set()
     while len(ports) < count:
--- a/winchfork/emulator/hollow.py
+++ b/winchfork/emulator/hollow.py
@@ -1,8 +1,8 @@
-"""Hollow daemons: the real membership, documents and load gossip, many in one process.
+"""Hollow daemons: the real membership, documents and load gossip of many daemons in one process.
 
-Messages go through the real codec, so bytes are real; delivery is in virtual time. Processor time
-is measured around the very calls a real daemon makes, codec included, without the socket; the cost
-of the socket is measured apart (``capacity.measure_datagram_cost``).
+Messages are encoded by the real codec and delivered in virtual time. Measured processor time covers
+the calls that a real daemon makes, codec included, but not the socket, whose cost is measured by
+``capacity.measure_datagram_cost``.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass
 class Traffic:
-    """What one daemon sent, received and spent."""
+    """Messages and bytes of one daemon, and its processor time in seconds."""
 
     sent: int = 0
     sent_bytes: int = 0
@@ -47,7 +47,7 @@
 
 
 class HollowDaemon:
-    """One daemon's control duties without sockets, gateway or engines."""
+    """One daemon's membership, documents and load gossip, without sockets, gateway or engines."""
 
     def __init__(self, number: int, zone: str, seeds: list[str], generator: random.Random) -> None:
         self.address = f"10.0.{number // 250}.{number % 250}:7000"
@@ -64,7 +64,7 @@
 
 
 class HollowRegion:
-    """Daemons of one region with a network of virtual time between them."""
+    """The daemons of one region, connected by a network in virtual time."""
 
     def __init__(self, daemons: int, replicas: int, seed: int, zones: int = 4) -> None:
         self._random = random.Random(f"hollow:{seed}")
@@ -86,7 +86,7 @@
         self._cut: set[str] = set()
 
     def run(self, seconds: float, *, load_changes_per_s: float = 1.0) -> None:
-        """Run for a span of virtual time; each replica's load changes at the given rate."""
+        """Run for ``seconds`` of virtual time; each replica's load changes at the given rate."""
         end_s = self.now_s + seconds
         while True:
             tick_s, number = self._ticks[0]
@@ -104,12 +104,12 @@
                 self._tick(daemon, number, load_changes_per_s)
 
     def reset_traffic(self) -> None:
-        """Start counting afresh."""
+        """Reset the traffic counters of every daemon."""
         for daemon in self.daemons:
             daemon.traffic = Traffic()
 
     def restart(self, number: int, incarnation: int) -> None:
-        """Replace a daemon by one with no memory."""
+        """Replace a daemon by a new one that has lost its state."""
         old = self.daemons[number]
         seeds = [daemon.address for daemon in self.daemons[:3]]
         fresh = HollowDaemon(number, old.membership.own.zone, seeds, old.generator)
@@ -121,18 +121,18 @@
         self._by_address[fresh.address] = fresh
 
     def publish(self, number: int, revision: int, size: int) -> None:
-        """Put a configuration of ``size`` bytes in force at one daemon."""
+        """Install a configuration of ``size`` bytes at one daemon and announce it."""
         daemon = self.daemons[number]
         daemon.documents.install(DocumentName.CONFIGURATION, Document(revision, b"x" * size))
         daemon.installed_at_s[revision] = self.now_s
-        self._notify(daemon)
+        self._announce(daemon)
 
     def cut_between(self, addresses: set[str]) -> None:
-        """Cut these daemons off from the rest; they still reach each other."""
+        """Cut these daemons off from the others; they still reach each other."""
         self._cut = addresses
 
     def statuses_of(self, member_id: str) -> list[MemberStatus | None]:
-        """Return how each living daemon sees a member."""
+        """Return a member's status at each other running daemon; None where it is unknown."""
         found: list[MemberStatus | None] = []
         for daemon in self.daemons:
             if daemon.alive and daemon.membership.own.member_id != member_id:
@@ -142,8 +142,8 @@
 
     def _tick(self, daemon: HollowDaemon, number: int, load_changes_per_s: float) -> None:
         started = time.perf_counter()
-        own_share = self._replicas[number :: len(self.daemons)]
-        for replica in own_share:
+        own_replicas = self._replicas[number :: len(self.daemons)]
+        for replica in own_replicas:
             if daemon.generator.random() < load_changes_per_s * HEARTBEAT_PERIOD_S:
                 tokens = int(daemon.generator.expovariate(1 / 4000))
                 load = ReplicaLoad(tokens, tokens // 3, daemon.generator.randrange(40))
@@ -220,21 +220,21 @@
         if isinstance(result, Document):
             if daemon.documents.install(name, result):
                 daemon.installed_at_s[result.revision] = self.now_s
-                self._notify(daemon)
+                self._announce(daemon)
             return []
         if result is None:
             return []
         return [_outgoing(sender, DocumentPull(message.name, message.revision, result))]
 
-    def _notify(self, daemon: HollowDaemon) -> None:
+    def _announce(self, daemon: HollowDaemon) -> None:
         members = [
             member
             for member in daemon.membership.members(include_leaving=False)
             if member.peer_address != daemon.address
         ]
         chosen = daemon.generator.sample(members, min(ANNOUNCE_FANOUT, len(members)))
-        notice = DocumentAnnouncement(daemon.documents.revisions())
-        outgoing = [_outgoing(member.peer_address, notice) for member in chosen]
+        announcement = DocumentAnnouncement(daemon.documents.revisions())
+        outgoing = [_outgoing(member.peer_address, announcement) for member in chosen]
         self._send(daemon, self._encode(daemon, outgoing))
 
 
--- a/winchfork/emulator/json_http.py
+++ b/winchfork/emulator/json_http.py
@@ -1,4 +1,4 @@
-"""Small WSGI helpers shared by the stand-ins' servers."""
+"""WSGI helpers shared by the emulated servers."""
 
 from __future__ import annotations
 
@@ -14,14 +14,18 @@
 
 
 def json_response(body: Any, status: int = 200) -> Response:
-    """Return a JSON answer."""
+    """Return a response with ``body`` as JSON."""
     return Response(json.dumps(body), status=status, content_type="application/json")
 
 
 def route_requests(
     routes: dict[tuple[str, str], Handler],
 ) -> Callable[[dict[str, Any], Any], Iterable[bytes]]:
-    """Return a WSGI application for exact (method, path) routes."""
+    """Return a WSGI application for exact (method, path) routes.
+
+    An unknown route is answered with 404, and a KeyError, ValueError or TypeError of a handler
+    with 400.
+    """
 
     def application(environ: dict[str, Any], start_response: Any) -> Iterable[bytes]:
         request = Request(environ)
--- a/winchfork/emulator/load.py
+++ b/winchfork/emulator/load.py
@@ -1,8 +1,8 @@
-"""The load tool: a profile's workload by real HTTP, every answer checked.
+"""The load tool: sends a profile's workload over HTTP and checks every answer.
 
-The answer that a request must get is known from its prompt, so each answer is judged: lost (no
-answer and not a refusal), crossed (another request's text), doubled or truncated (not exactly the
-tokens asked for). Refusals are counted apart, by code.
+The expected answer follows from the prompt. An answer counts as whole, lost (neither an answer nor
+a refusal), crossed (another request's text), doubled (too many or repeated tokens), truncated (too
+few tokens) or broken (an error event). Refusals are counted by code.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LoadOptions:
-    """What to send, where to, and for how long."""
+    """Options of a run; ``urls`` are daemons' base URLs, ``rate`` scales the profile's arrivals."""
 
     deployment: Deployment
     urls: tuple[str, ...]
@@ -78,7 +78,7 @@
     def record_timing(
         self, traffic_class: str, first_token_s: float, gaps_s: list[float], usage: dict[str, Any]
     ) -> None:
-        """Record a complete answer's times and token counts."""
+        """Record a complete answer's latencies in seconds and its token counts."""
         with self._lock:
             histogram = self._first_token.setdefault(traffic_class, HdrHistogram(1, _MAX_US, 3))
             histogram.record_value(max(1, int(first_token_s * 1e6)))
@@ -171,14 +171,14 @@
         self._report = report
 
     def send(self, item: WorkItem) -> None:
-        """Send one item; nothing escapes, so that every item is counted."""
+        """Send one item; an exception counts as a lost request."""
         self._report.record_start()
         try:
             if item.is_command:
                 self._command(item)
             else:
                 self._completion(item)
-        except Exception as error:  # noqa: BLE001 - counted, and the run goes on
+        except Exception as error:  # noqa: BLE001 - recorded, and the run continues
             self._report.record_outcome("lost", f"caller:{type(error).__name__}")
 
     def _headers(self, item: WorkItem) -> dict[str, str]:
@@ -245,7 +245,7 @@
             self._report.record_outcome("lost")
 
     def _command(self, item: WorkItem) -> None:
-        """Send a command that must not be repeated; retry with the same key, elsewhere."""
+        """Send a command that must run at most once; retry at other daemons with the same key."""
         key = new_command_key()
         order = item.segments[0].identity
         outcome = "unknown"
@@ -282,7 +282,7 @@
 
 
 def new_command_key() -> str:
-    """Return a UUIDv7: the issue time in milliseconds, then random bits."""
+    """Return a UUIDv7: the current time in milliseconds, followed by random bits."""
     stamp_ms = int(time.time() * 1000)
     value = (stamp_ms << 80) | (uuid.uuid4().int & ((1 << 80) - 1))
     value = (value & ~(0xF << 76)) | (0x7 << 76)
@@ -291,7 +291,7 @@
 
 
 class _CheckedStream:
-    """Collects one answer's events."""
+    """Collects the events of one streamed answer."""
 
     def __init__(self) -> None:
         self.parts: list[str] = []
--- a/winchfork/emulator/platform_server.py
+++ b/winchfork/emulator/platform_server.py
@@ -1,8 +1,9 @@
-"""Stand-ins of the platform behind HTTP: key-value service, machine list, weight store.
+"""The emulated platform behind HTTP: key-value service and machine list.
 
-The key-value service speaks the etcd v3 JSON subset of ``stores/etcd_json.py``. Faults
-(``POST /platform/faults``): ``down`` (answers nothing), ``delay_s``, ``lose_answers`` (the next N
-writes take effect and their answers are lost), ``calls_per_s`` (rate limit).
+The key-value service implements the subset of etcd's v3 JSON API that ``stores/etcd_json.py`` uses.
+Faults (``POST /platform/faults``): ``down`` (closes every connection without an answer),
+``delay_s``, ``lose_answers`` (the next N writes take effect and their answers are lost),
+``calls_per_s`` (rate limit).
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 from winchfork.stores.machine_list import Machine, MachineState
 
 _WORKERS = 128
-_WATCH_BEAT_S = 0.5
+_WATCH_KEEPALIVE_S = 0.5
 
 
 def _encode(raw: bytes) -> str:
@@ -34,7 +35,7 @@
 
 
 class PlatformServer:
-    """The platform's services on one address."""
+    """The platform's services on one address; ``calls`` counts the requests received."""
 
     def __init__(self, address: str, *, machine_list_lag_s: float = 0.5) -> None:
         self.model = KeyValueModel()
@@ -69,27 +70,27 @@
         return f"http://{self._server.address}"
 
     def start(self) -> None:
-        """Serve on threads of its own."""
+        """Start serving on background threads."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop without waiting for running requests."""
         self._server.stop(wait=False)
 
     def put_machine(self, machine: Machine) -> None:
-        """Add or change a machine; readers see it after the list's lag."""
+        """Add or change a machine; readers see the change after the machine list's lag."""
         with self._condition:
             self._machines[machine.machine_id] = machine
-            self._note_machines()
+            self._record_machines()
 
     def remove_machine(self, machine_id: str) -> None:
-        """Take a machine off the list."""
+        """Remove a machine from the list, if it is there."""
         with self._condition:
             self._machines.pop(machine_id, None)
-            self._note_machines()
+            self._record_machines()
 
     def inject(self, faults: dict[str, Any]) -> None:
-        """Set faults, as ``POST /platform/faults`` does."""
+        """Set the given faults, as ``POST /platform/faults`` does; others stay."""
         with self._condition:
             self._down = bool(faults.get("down", self._down))
             self._delay_s = float(faults.get("delay_s", self._delay_s))
@@ -97,7 +98,7 @@
             self._calls_per_s = float(faults.get("calls_per_s", self._calls_per_s))
             self._condition.notify_all()
 
-    def _note_machines(self) -> None:
+    def _record_machines(self) -> None:
         revision = self._machine_changes[-1][1] + 1
         shown = tuple(sorted(self._machines.values(), key=lambda item: item.machine_id))
         self._machine_changes.append((time.monotonic(), revision, shown))
@@ -109,7 +110,7 @@
                 down, delay_s, limited = self._down, self._delay_s, self._is_limited()
             if down:
                 environ["winchfork.socket"].close()
-                raise ConnectionResetError("the platform is down by injection")
+                raise ConnectionResetError("injected fault: the platform is down")
             if delay_s:
                 time.sleep(delay_s)
             if limited:
@@ -161,7 +162,7 @@
             self._condition.notify_all()
         if lose:
             request.environ["winchfork.socket"].close()
-            raise ConnectionResetError("answer lost by injection")
+            raise ConnectionResetError("injected fault: answer lost")
         return json_response({"header": {"revision": str(revision)}, "succeeded": succeeded})
 
     def _apply(self, operation: dict[str, Any]) -> None:
@@ -199,7 +200,7 @@
         while True:
             with self._condition:
                 if position >= len(self.model.history) and not self._down:
-                    self._condition.wait(_WATCH_BEAT_S)
+                    self._condition.wait(_WATCH_KEEPALIVE_S)
                 if self._down:
                     return
                 changes = self.model.history[position:]
--- a/winchfork/emulator/sim_engine.py
+++ b/winchfork/emulator/sim_engine.py
@@ -1,4 +1,4 @@
-"""An engine in virtual time: the engine model driven by a simpy process."""
+"""An engine in virtual time: a simpy process that drives the engine model."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from winchfork.core.prefix import BlockKey
 from winchfork.emulator.engine_model import EngineModel, EngineSettings, Sequence
 
-#: Decode steps taken as one event while nothing waits; bounds the error on a new arrival's start.
+#: Decode steps simulated as one event while nothing waits, by which a new arrival may be delayed.
 _DECODE_STRIDE = 3
 
 
 class StreamSignal(enum.Enum):
-    """What a stream's listener is told."""
+    """Signals to the listener of a stream."""
 
     FIRST_TOKEN = "first_token"
     DONE = "done"
@@ -67,9 +67,9 @@
         source: SimEngine | None = None,
         import_blocks: int = 0,
     ) -> StreamSignal | None:
-        """Start a generation; REFUSED when it does not accept work or the fence is stale.
+        """Start a generation; with a ``source``, copy the leading ``import_blocks`` from it first.
 
-        With a ``source``, the prompt's leading ``import_blocks`` are copied from it first.
+        Return REFUSED if the engine accepts no requests or its identity is not ``expected``.
         """
         if not self.accepting or expected != self.model.identity:
             return StreamSignal.REFUSED
@@ -88,18 +88,18 @@
 
     def _import(self, sequence: Sequence, keys: tuple[BlockKey, ...], source: SimEngine) -> Any:
         """Copy blocks over a link that serves one copy at a time, then queue the generation."""
-        held = source.model.cache.match(keys)
-        missing = held - self.model.cache.match(keys)
+        available = source.model.cache.match(keys)
+        missing = available - self.model.cache.match(keys)
         if missing > 0:
             settings = self.model.settings
             seconds = missing * BLOCK_TOKENS / settings.import_tokens_per_s
             seconds += settings.import_setup_s
             self._link_free_s = max(self._link_free_s, self._env.now) + seconds
-            generation = self._reset_count
+            reset_count = self._reset_count
             yield self._env.timeout(self._link_free_s - self._env.now)
-            if generation != self._reset_count:
+            if reset_count != self._reset_count:
                 return
-            self.model.import_blocks(keys[:held], self._env.now)
+            self.model.import_blocks(keys[:available], self._env.now)
         if sequence.sequence_id in self._streams:
             self._enqueue(sequence)
 
@@ -109,7 +109,7 @@
         self._streams.pop(sequence_id, None)
 
     def crash(self) -> None:
-        """Come back empty; every stream breaks."""
+        """Restart with an empty cache; every stream breaks."""
         self._reset_count += 1
         self.model.crash()
         self._break_all()
@@ -132,9 +132,9 @@
                 self._wake = self._env.event()
                 yield self._wake
                 continue
-            generation = self._reset_count
+            reset_count = self._reset_count
             yield self._env.timeout(plan.duration_s)
-            if generation != self._reset_count:
+            if reset_count != self._reset_count:
                 continue
             for output in self.model.finish_step(plan, self._env.now):
                 running = self._streams.get(output.sequence.sequence_id)
@@ -148,5 +148,5 @@
 
 
 def make_environment() -> Any:
-    """Return a simpy environment."""
+    """Return a new simpy environment."""
     return simpy.Environment()
--- a/winchfork/emulator/sim_fleet.py
+++ b/winchfork/emulator/sim_fleet.py
@@ -1,8 +1,8 @@
-"""A fleet in virtual time: daemons that run the very core that the real daemon runs.
+"""A fleet in virtual time, whose daemons run the same core as the real daemon.
 
-What each daemon knows travels as it does between real ones: events are read by one daemon, late and
-with gaps, and go to the owners of families; load reaches the other daemons later and quantized;
-lookups cost a round trip; beliefs die with an incarnation.
+State spreads as it does between real daemons: one daemon reads an engine's events, delayed and with
+gaps, and forwards them to the owners of the block families; load reaches the other daemons later
+and quantized; a lookup takes a round trip; a new incarnation invalidates a replica's cached blocks.
 """
 
 from __future__ import annotations
@@ -43,14 +43,14 @@
 
 @dataclasses.dataclass
 class EventFaults:
-    """How events go wrong now."""
+    """The share of cache events that is lost now, and the delay of the others in seconds."""
 
     loss: float = 0.002
     delay_s: float = _EVENT_DELAY_S
 
 
 class SimDaemon:
-    """One daemon's knowledge."""
+    """One daemon's state: cache index, fleet, admission queue and retry budget."""
 
     def __init__(
         self, daemon_id: str, zone: str, policy: PlacementPolicy, engines: Sequence[SimEngine]
@@ -65,7 +65,7 @@
         self.reset(engines)
 
     def reset(self, engines: Sequence[SimEngine]) -> None:
-        """Lose everything that a restart loses."""
+        """Reset the state that a restart loses: cache index, replica identities and loads."""
         self.reset_count += 1
         self.index = CacheIndex()
         self.fleet = Fleet()
@@ -76,7 +76,10 @@
 
 
 class SimFleet:
-    """Daemons, engines and the knowledge that flows between them."""
+    """Daemons and engines, and the messages between them.
+
+    If ``omniscient``, requests are placed with the engines' true caches and loads (the oracle).
+    """
 
     def __init__(
         self,
@@ -109,10 +112,10 @@
             env.process(self._read_events(engine))
         env.process(self._spread_loads())
 
-    # --- knowledge ---
+    # --- state that spreads between daemons ---
 
     def reachable(self, zone: str, other: str) -> bool:
-        """Tell whether two zones can exchange messages now."""
+        """Return whether two zones can exchange messages now."""
         return zone == other or not ({zone, other} & self.cut_zones)
 
     def _delay_s(self, zone: str, other: str) -> float:
@@ -125,11 +128,11 @@
         return owner if self.reachable(asker.zone, owner.zone) else asker
 
     def _read_events(self, engine: SimEngine) -> Any:
-        """The reader of one replica: poll, fold, pass on to the owners."""
+        """Poll the events of one engine and forward them to the owners of the block families."""
         reader_id = rendezvous_owner(engine.replica_id, self._by_id)
         assert reader_id is not None
         reader = self._by_id[reader_id]
-        incarnation, position, generation = 0, 0, reader.reset_count
+        incarnation, position, reset_count = 0, 0, reader.reset_count
         families = FamilyMap()
         yield self.env.timeout(self._random.random() * EVENT_POLL_PERIOD_S)
         while True:
@@ -137,51 +140,53 @@
             if not self.reachable(reader.zone, engine.zone):
                 continue
             identity = engine.model.identity
-            self._note_report(reader, engine)
+            self._update_report(reader, engine)
             if identity.incarnation != incarnation:
                 incarnation, position = identity.incarnation, 0
                 families = FamilyMap()
                 for daemon in self.daemons:
-                    self._note_identity(daemon, engine)
-            if reader.reset_count != generation:
-                # As at a real reader's first contact: a snapshot replaces what it lost.
-                generation = reader.reset_count
+                    self._update_identity(daemon, engine)
+            if reader.reset_count != reset_count:
+                # A restarted reader begins with a snapshot of the cache, as a real one does.
+                reset_count = reader.reset_count
                 families = self._resync(reader, engine)
                 position = engine.model.next_sequence - 1
                 continue
             visible_before_s = self.env.now - self.event_faults.delay_s
             events = engine.model.events_after(position, visible_before_s)
-            kept = [event for event in events if self._random.random() >= self.event_faults.loss]
-            if len(kept) < len(events):
+            received = [
+                event for event in events if self._random.random() >= self.event_faults.loss
+            ]
+            if len(received) < len(events):
                 families = self._resync(reader, engine)
                 position = engine.model.next_sequence - 1
-            elif kept:
-                self._fold(reader, engine, families, kept)
-                position = kept[-1].sequence
+            elif received:
+                self._apply_events(reader, engine, families, received)
+                position = received[-1].sequence
 
-    def _note_report(self, daemon: SimDaemon, engine: SimEngine) -> None:
+    def _update_report(self, daemon: SimDaemon, engine: SimEngine) -> None:
         replica = daemon.fleet.get(engine.replica_id)
         if replica is not None:
             replica.update_load(engine.model.load(), self.env.now)
             replica.identity = engine.model.identity
             daemon.index.fence(engine.replica_id, engine.model.identity.incarnation)
 
-    def _note_identity(self, daemon: SimDaemon, engine: SimEngine) -> None:
+    def _update_identity(self, daemon: SimDaemon, engine: SimEngine) -> None:
         replica = daemon.fleet.get(engine.replica_id)
         if replica is not None:
             replica.identity = engine.model.identity
             daemon.index.fence(engine.replica_id, engine.model.identity.incarnation)
 
-    def _fold(
+    def _apply_events(
         self,
         reader: SimDaemon,
         engine: SimEngine,
         families: FamilyMap,
         events: list[CacheEvent],
     ) -> None:
-        folded = families.apply_events(events)
+        changes = families.apply_events(events)
         incarnation = engine.model.identity.incarnation
-        for key, stored in folded.items():
+        for key, stored in changes.items():
             owner = self._owner(families.owner_key(key), reader)
             if stored:
                 owner.index.assume_stored(engine.replica_id, incarnation, (key,))
@@ -202,7 +207,7 @@
         return families
 
     def _spread_loads(self) -> Any:
-        """Loads reach the other daemons quantized and about two probe periods late."""
+        """Send every load to all daemons, quantized and two heartbeat periods late."""
         while True:
             measured = {
                 engine.replica_id: (self.env.now, engine.model.load())
@@ -215,13 +220,13 @@
                     newer = replica.load_measured_at_s >= at_s
                     if newer or not self.reachable(daemon.zone, replica.zone):
                         continue
-                    heard = quantize(0, load, at_s).update(load)
-                    replica.update_load(heard, at_s)
+                    received = quantize(0, load, at_s).update(load)
+                    replica.update_load(received, at_s)
 
     # --- requests ---
 
     def serve(self, item: WorkItem) -> None:
-        """Start one request at its daemon."""
+        """Start one request at the daemon that its number selects."""
         self.metrics.arrived += 1
         daemon = self.daemons[item.number % len(self.daemons)]
         self.env.process(self._request(item, daemon))
@@ -245,8 +250,8 @@
             self.metrics.refused[verdict.kind.value] += 1
             return
         if verdict is AdmissionOutcome.QUEUED:
-            turn = daemon.admission_events[request_id] = self.env.event()
-            yield turn
+            admission = daemon.admission_events[request_id] = self.env.event()
+            yield admission
         admitted_s = self.env.now
         yield from self._attempts_until_done(item, daemon, traffic_class, arrived_s)
         for admitted in daemon.admission.release(
@@ -263,7 +268,7 @@
         while placements < MAX_PLACEMENTS_PER_REQUEST:
             placed = yield from self._place(item, daemon, traffic_class, excluded)
             if placed is None:
-                # Every replica is excluded or avoided; what broke may be back after a pause.
+                # Every replica is excluded or avoided; one may have recovered after a pause.
                 excluded.clear()
                 placements += 1
                 yield self.env.timeout(_NO_REPLICA_PAUSE_S)
@@ -318,7 +323,7 @@
             return StreamSignal.REFUSED
         self.metrics.dispatches += 1
 
-        def hear(signal: StreamSignal, _: EngineSequence) -> None:
+        def on_signal(signal: StreamSignal, _: EngineSequence) -> None:
             for event in signals:
                 if not event.triggered:
                     event.succeed(signal)
@@ -328,7 +333,7 @@
         source = self.engines.get(decision.import_from)
         if source is not None and not self.reachable(source.zone, engine.zone):
             source = None
-        return engine.submit(sequence, identity, hear, source, decision.import_blocks)
+        return engine.submit(sequence, identity, on_signal, source, decision.import_blocks)
 
     def _learn_from_refusal(self, engine: SimEngine, daemon: SimDaemon, replica: Replica) -> None:
         if self.reachable(daemon.zone, engine.zone) and engine.accepting:
@@ -357,7 +362,7 @@
         traffic_class: TrafficClass,
         excluded: set[str],
     ) -> Any:
-        """Choose a replica as the real router does; None when there is no candidate."""
+        """Choose a replica as the real router does; return None if there is no candidate."""
         replicas, matched, prefix = yield from self._candidates(item, daemon, excluded)
         if not replicas:
             return None
@@ -410,7 +415,7 @@
     def _true_candidates(
         self, item: WorkItem, excluded: set[str]
     ) -> tuple[list[Replica], Mapping[str, int], PromptPrefix]:
-        """Perfect, instant knowledge of every cache and queue, for the oracle."""
+        """Return the replicas with their current loads and cached or pending blocks (oracle)."""
         engines = [
             engine
             for engine in self.engines.values()
@@ -425,14 +430,14 @@
             replicas.append(
                 Replica(engine.replica_id, "engines", engine.zone, "", engine.model.identity, load)
             )
-            coming = {
+            pending = {
                 key
                 for sequence in (*engine.model.waiting, *engine.model.running)
                 for key in sequence.block_keys
             }
             depth = 0
             for key in prefix.block_keys:
-                if key not in engine.model.cache and key not in coming:
+                if key not in engine.model.cache and key not in pending:
                     break
                 depth += 1
             matched[engine.replica_id] = depth
--- a/winchfork/emulator/sim_metrics.py
+++ b/winchfork/emulator/sim_metrics.py
@@ -1,4 +1,4 @@
-"""What an experiment measures."""
+"""Metrics of an experiment: records of finished requests, and the report derived from them."""
 
 from __future__ import annotations
 
@@ -10,13 +10,16 @@
 from winchfork.core.prefix import BlockKey
 
 _WINDOW_S = 5.0
-#: A window counts as dipped below this share of the hit rate before the fault.
+#: A window belongs to the dip if its hit rate is below this share of the rate before the fault.
 _DIP_SHARE = 0.9
 
 
 @dataclasses.dataclass(frozen=True)
 class RequestRecord:
-    """One finished request. Times in seconds of virtual time."""
+    """One finished request.
+
+    Times are in seconds of virtual time; ``first_token_s`` counts from the arrival.
+    """
 
     traffic_class: str
     arrived_s: float
@@ -29,7 +32,7 @@
 
 
 class SimMetrics:
-    """Collects records and derives the report."""
+    """Collects records and counts; rates and latencies leave out arrivals during the warm-up."""
 
     def __init__(self, warm_up_s: float) -> None:
         self._warm_up_s = warm_up_s
@@ -44,7 +47,7 @@
         self._ever_stored: set[BlockKey] = set()
 
     def record_stored(self, keys: tuple[BlockKey, ...]) -> None:
-        """Count computed blocks, and those that the fleet had computed before."""
+        """Count computed blocks, and as wasted those that the fleet had computed before."""
         for key in keys:
             known = key in self._ever_stored
             self._ever_stored.add(key)
@@ -53,7 +56,7 @@
                 self.wasted_blocks += known
 
     def report(self, fault_at_s: float | None = None) -> dict[str, Any]:
-        """Return the figures as plain values."""
+        """Return the figures as plain values; with a fault time, the dip in hit rate after it."""
         counted = [item for item in self.records if item.arrived_s >= self._warm_up_s]
         prompt = sum(item.prompt_tokens for item in counted)
         cached = sum(item.cached_tokens for item in counted)
@@ -77,7 +80,7 @@
         return report
 
     def _dip(self, fault_at_s: float) -> dict[str, float]:
-        """Return depth and length of the dip in hit rate, and the worst window's tail."""
+        """Return depth and length of the dip in hit rate, and the worst window's p95 latency."""
         before = [
             item
             for item in self.records
@@ -108,11 +111,11 @@
 
 
 def _class_report(records: list[RequestRecord], name: str) -> dict[str, float]:
-    mine = [item for item in records if item.traffic_class == name]
-    first = [item.first_token_s for item in mine]
-    whole = [item.done_s - item.arrived_s for item in mine]
+    selected = [item for item in records if item.traffic_class == name]
+    first = [item.first_token_s for item in selected]
+    whole = [item.done_s - item.arrived_s for item in selected]
     return {
-        "finished": len(mine),
+        "finished": len(selected),
         "first_token_p50_s": percentile(first, 50),
         "first_token_p95_s": percentile(first, 95),
         "first_token_p99_s": percentile(first, 99),
@@ -122,7 +125,7 @@
 
 
 def percentile(values: list[float], level: float) -> float:
-    """Return a percentile by nearest rank; 0 for no values."""
+    """Return the percentile ``level`` (0 to 100) by rank, or 0 for no values."""
     if not values:
         return 0.0
     ordered = sorted(values)
--- a/winchfork/emulator/target.py
+++ b/winchfork/emulator/target.py
@@ -1,7 +1,7 @@
-"""The two-year target's traffic on hollow replicas: placement at full size for some seconds.
+"""Simulates placement in one region at its planned two-year size, in virtual time.
 
-One region of 140 daemons before 200 replicas is run in full (a third of the fleet: regions share
-nothing on the request path). Replicas are the engine model; daemons are the simulated fleet's.
+A region has 140 daemons and 200 replicas, a third of the fleet; regions share nothing on the
+request path. Replicas run the engine model, daemons are those of the simulated fleet.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class TargetOptions:
-    """Length of the run in virtual seconds, and how much of the region to run."""
+    """Length of the run in virtual seconds, and the share of the region to simulate."""
 
     seed: int = 1
     duration_s: float = 10.0
@@ -67,7 +67,10 @@
 
 
 def target_items(options: TargetOptions) -> Iterator[WorkItem]:
-    """Yield requests: a tenant's rules, one of its documents, a question; Zipf over both."""
+    """Yield requests that share a tenant's rules and one of its documents, and ask a question.
+
+    Tenants and documents are drawn from Zipf-like distributions.
+    """
     generator = random.Random(f"target:{options.seed}")
     tenants = TARGET_REGION.tenants
     tenant_weights = [1.0 / (rank + 1) ** 0.8 for rank in range(len(tenants))]
@@ -93,14 +96,14 @@
 
 
 def run_target(options: TargetOptions) -> dict[str, Any]:
-    """Run and return the report with this process's own cost."""
+    """Run and return the report, with this process's wall time in seconds and memory in MiB."""
     started_s = time.perf_counter()
     env = make_environment()
     metrics = SimMetrics(options.duration_s / 2)
     replicas = int(REGION_REPLICAS * options.share)
     daemons = int(REGION_DAEMONS * options.share)
     zones = TARGET_REGION.zones
-    # 4,800 accelerators over 600 replicas: eight accelerators serve one replica.
+    # One replica runs on eight accelerators.
     settings = EngineSettings(
         prefill_tokens_per_s=60_000.0,
         step_base_s=0.012,
--- a/winchfork/emulator/workload.py
+++ b/winchfork/emulator/workload.py
@@ -1,8 +1,8 @@
-"""Workloads of the two first users, shared by the load tool and the experiments.
+"""Workloads of two deployments, shared by the load tool and the experiments.
 
-A prompt is a list of segments (house rules, then the school's style sheet, then the page), each
-with an identity and a length. The load tool turns segments into text; the experiments turn them
-straight into block keys, with the same sharing.
+A prompt is a list of segments (such as house rules, a school's style sheet, a page), each with an
+identity and a length. The load tool turns segments into text; the experiments turn them directly
+into block keys that share prefixes in the same way.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Segment:
-    """A piece of prompt: equal identities have equal text."""
+    """A part of a prompt; segments with equal identities have equal text."""
 
     identity: str
     tokens: int
@@ -38,7 +38,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class WorkItem:
-    """One request of a workload. ``is_command`` items go to the application pool."""
+    """One request of a workload, sent ``at_s`` seconds after its start.
+
+    ``is_command`` items go to the application pool.
+    """
 
     number: int
     at_s: float
@@ -50,13 +53,13 @@
 
     @property
     def prompt_tokens(self) -> int:
-        """The prompt's length."""
+        """The prompt's length in tokens."""
         return sum(segment.tokens for segment in self.segments)
 
 
 @dataclasses.dataclass(frozen=True)
 class Deployment:
-    """One user's sizes of today, or the target's."""
+    """The sizes of one deployment: zones, pools, traffic classes and tenants."""
 
     name: str
     region: str
@@ -99,7 +102,7 @@
 
 
 class Workload(Protocol):
-    """Produces a deployment's requests in order of time."""
+    """Generates a deployment's requests in order of time."""
 
     def items(self, duration_s: float, rate: float) -> Iterator[WorkItem]:
         """Yield the requests of ``duration_s``; ``rate`` scales the arrivals."""
@@ -107,7 +110,7 @@
 
 
 def segment_text(segment: Segment) -> str:
-    """Return text of the segment's length that only its identity determines."""
+    """Return text of the segment's length, determined by its identity."""
     unit = xxhash.xxh3_64_hexdigest(segment.identity.encode()) + " "
     wanted = segment.tokens * BYTES_PER_TOKEN
     return (unit * (wanted // len(unit) + 1))[:wanted]
@@ -157,7 +160,10 @@
 
 
 class HimalWorkload:
-    """Yearbook proofing: quick suggestions, book reviews that may wait, a deadline surge."""
+    """Yearbook proofing: interactive suggestions, and book reviews that may wait.
+
+    The rate of suggestions rises by ``SURGE_FACTOR`` after the share ``SURGE_FROM`` of the run.
+    """
 
     SCHOOLS = 8
     HOUSE_TOKENS = 2_048
@@ -234,7 +240,11 @@
 
 
 class VigieWorkload:
-    """Wind farms: fault reviews, alarm explanations, commands; a gusty night with a hot set."""
+    """Wind farms: alarm explanations, fault reviews and commands.
+
+    Between the shares ``GUST_FROM`` and ``GUST_TO`` of the run there are ``GUST_FACTOR`` times as
+    many alarms, and ``HOT_SHARE`` of them concern a few turbines, which change at ``GUST_SHIFT``.
+    """
 
     TURBINES = 24
     FARM_TOKENS = 3_072
