--- a/benchmarks/crashing_requests.py
+++ b/benchmarks/crashing_requests.py
@@ -36,7 +36,7 @@
 INNOCENT_PER_S = 74.0
 RUN_S = 0.3
 FAMILIES = 40
-HOME_SHARE = 0.75
+AFFINITY_SHARE = 0.75
 #: Fatal requests: seconds from start to crash, seconds between repeats, and number of repeats.
 FATAL_S = 0.08
 REPEAT_S = 1.0
@@ -163,9 +163,9 @@
                 return None
             excluded = tracker.excluded_replicas(request.digest, candidates)
             candidates = [replica for replica in candidates if replica.replica_id not in excluded]
-        home = self._replicas[request.family % REPLICAS]
-        if home in candidates and self._random.random() < HOME_SHARE:
-            return home
+        preferred = self._replicas[request.family % REPLICAS]
+        if preferred in candidates and self._random.random() < AFFINITY_SHARE:
+            return preferred
         return self._random.choice(candidates) if candidates else None
 
     def _run(self, run: Run) -> None:
--- a/winchfork/cli/day_figures.py
+++ b/winchfork/cli/day_figures.py
@@ -89,15 +89,15 @@
 
 def figures_of_day(events: Iterable[LoggedEvent]) -> DayFigures | None:
     """Aggregate the events of all logs; return None if there are none."""
-    known = sorted(events, key=lambda event: event.at_s)
-    if not known:
+    ordered = sorted(events, key=lambda event: event.at_s)
+    if not ordered:
         return None
-    began_s = known[0].at_s
+    began_s = ordered[0].at_s
     outcomes: dict[str, Counter[int]] = {group: Counter() for group in GROUPS}
     first_event_s: defaultdict[int, list[float]] = defaultdict(list)
     sent: defaultdict[str, Counter[int]] = defaultdict(Counter)
     marks: set[Mark] = set()
-    for event in known:
+    for event in ordered:
         second = int(event.at_s - began_s)
         if event.name in ("request_done", "request_refused"):
             outcome = event.field("outcome") or event.field("code")
@@ -110,12 +110,12 @@
             marks.add(Mark(second, event.name, event.field(_MARKED[event.name])))
     return DayFigures(
         began_s,
-        int(known[-1].at_s - began_s) + 1,
+        int(ordered[-1].at_s - began_s) + 1,
         outcomes,
         dict(first_event_s),
         dict(sent),
         tuple(sorted(marks)),
-        tuple(_store_unreachable_periods(known, began_s)),
+        tuple(_store_unreachable_periods(ordered, began_s)),
     )
 
 
--- a/winchfork/cli/log_explanation.py
+++ b/winchfork/cli/log_explanation.py
@@ -67,12 +67,12 @@
 
 def explain_request(events: Iterable[LoggedEvent], request_id: str) -> RequestExplanation | None:
     """Return the explanation of a request, or None if no event has its id."""
-    known = sorted(events, key=lambda event: event.at_s)
-    own = [event for event in known if event.field("id") == request_id]
+    ordered = sorted(events, key=lambda event: event.at_s)
+    own = [event for event in ordered if event.field("id") == request_id]
     if not own:
         return None
     selection = _RelatedEvents(own)
-    related = [event for event in known if selection.includes(event)]
+    related = [event for event in ordered if selection.includes(event)]
     return RequestExplanation(request_id, tuple(related), _meaning(own))
 
 
--- a/winchfork/emulator/engine_model.py
+++ b/winchfork/emulator/engine_model.py
@@ -135,7 +135,7 @@
         """Add a pinned block; return the evicted keys, or None if every block is pinned."""
         evicted: list[BlockKey] = []
         if len(self._blocks) >= self._capacity:
-            victim = next((known for known, count in self._blocks.items() if count == 0), None)
+            victim = next((cached for cached, count in self._blocks.items() if count == 0), None)
             if victim is None:
                 return None
             del self._blocks[victim]
--- a/winchfork/emulator/load.py
+++ b/winchfork/emulator/load.py
@@ -1,8 +1,9 @@
 """The load tool: sends a profile's workload over HTTP and checks every answer.
 
-The expected answer follows from the prompt. An answer counts as whole, lost (neither an answer nor
-a refusal), crossed (another request's text), doubled (too many or repeated tokens), truncated (too
-few tokens) or broken (an error event). Refusals are counted by code.
+The expected answer follows from the prompt. An answer counts as whole (exactly the expected text),
+lost (neither an answer nor a refusal), crossed (another request's text), doubled (too many or
+repeated tokens), truncated (too few tokens) or broken (an error event). Refusals are counted by
+code.
 """
 
 from __future__ import annotations
