--- a/benchmarks/commands_under_failure.py
+++ b/benchmarks/commands_under_failure.py
@@ -44,7 +44,7 @@
         self.crashes = 0
 
     def command(self, number: int) -> None:
-        """Send one command until it is answered or refused, or attempts are exhausted (unknown)."""
+        """Send one command until its outcome is known or its attempts are exhausted."""
         order = f"stop turbine {number}"
         key = new_command_key()
         outcome = "unknown"
