--- a/benchmarks/replica_limits.py
+++ b/benchmarks/replica_limits.py
@@ -111,7 +111,9 @@
         ]
         windows = [worst_window(notices, senders) for notices in emitters]
         worst = max((item for item in windows if item), key=lambda item: item.excess, default=None)
-        window = f"worst 4 s {worst.requests} of {worst.allowed:g}" if worst else "no window counted"
+        window = (
+            f"worst 4 s {worst.requests} of {worst.allowed:g}" if worst else "no window counted"
+        )
         counts = self._arrivals_by_second()
         used = sum(counts[second] for second in range(int(MEASURED_FROM_S), int(LIMIT_UNTIL_S)))
         allowed = self._scenario.per_s * (LIMIT_UNTIL_S - MEASURED_FROM_S) * len(self._limited)
