--- a/benchmarks/store_copies.py
+++ b/benchmarks/store_copies.py
@@ -109,7 +109,7 @@
     async def _restore_store(self) -> None:
         store, scenario = self._deployment.store, self._scenario
         await asyncio.sleep(BACKUP_S)
-        backup = store.copy()
+        backup = store.back_up()
         if scenario.changes_leader:
             self._deployment.crash_leader()
         await asyncio.sleep(OUTAGE_FROM_S - BACKUP_S)
--- a/benchmarks/what_binds.py
+++ b/benchmarks/what_binds.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Play:
+class MeasuredRun:
     """One run of a day: seed, report, and the number of late answers by cause, from the log."""
 
     day: str
@@ -44,7 +44,7 @@
     late: Mapping[str, int]
 
     @property
-    def worth(self) -> float:
+    def score(self) -> float:
         """The run's score after prices."""
         return float(self.report["G"])
 
@@ -59,14 +59,14 @@
         return {name: charge for name, _, charge in self.report["prices"]}
 
 
-def read_plays(folder: Path) -> list[Play]:
+def read_runs(folder: Path) -> list[MeasuredRun]:
     """Read every report of a folder, with its log if there is one."""
     plays = []
     for path in sorted(folder.glob("*.json")):
         day, _, seed = path.stem.rpartition("-")
         log = path.with_suffix(".log")
         lines = log.read_text(errors="replace").splitlines() if log.exists() else []
-        plays.append(Play(day, seed, json.loads(path.read_text()), late_causes(lines)))
+        plays.append(MeasuredRun(day, seed, json.loads(path.read_text()), late_causes(lines)))
     return plays
 
 
@@ -105,20 +105,20 @@
     return statistics.fmean(values), _T95.get(len(values) - 1, 2.0) * spread
 
 
-def by_day(plays: Iterable[Play]) -> dict[str, list[Play]]:
+def by_day(plays: Iterable[MeasuredRun]) -> dict[str, list[MeasuredRun]]:
     """Return the runs of each day, by its name."""
-    days: dict[str, list[Play]] = collections.defaultdict(list)
+    days: dict[str, list[MeasuredRun]] = collections.defaultdict(list)
     for play in plays:
         days[play.day].append(play)
     return days
 
 
-def print_worth(days: Mapping[str, list[Play]]) -> None:
+def print_scores(days: Mapping[str, list[MeasuredRun]]) -> None:
     """Print the means of score, parts and prices of each day over its runs."""
     print("| day | runs | score (min) | served | parts | prices |")
     print("| --- | --- | --- | --- | --- | --- |")
     for day, plays in days.items():
-        scores = [play.worth for play in plays]
+        scores = [play.score for play in plays]
         served = statistics.fmean(play.report["served"] for play in plays)
         parts = _means([play.parts for play in plays], 0.0)
         prices = _means([play.prices for play in plays], _MIN_PRICE)
@@ -140,7 +140,7 @@
     return ", ".join(f"{name} {value:.3f}" for name, value in values.items())
 
 
-def print_causes(days: Mapping[str, list[Play]]) -> None:
+def print_causes(days: Mapping[str, list[MeasuredRun]]) -> None:
     """Print unserved and late requests per run by cause, and the runs that broke a rule."""
     print("\n| day | unserved per run, by cause | late per run, by cause | runs with breaks |")
     print("| --- | --- | --- | --- |")
@@ -154,18 +154,18 @@
         print(f"| {day} | {_counts(unserved, plays)} | {_counts(late, plays)} | {broken} |")
 
 
-def _counts(counts: collections.Counter[str], plays: list[Play]) -> str:
+def _counts(counts: collections.Counter[str], plays: list[MeasuredRun]) -> str:
     return ", ".join(f"{name} {count / len(plays):.1f}" for name, count in counts.most_common())
 
 
-def print_change(days: Mapping[str, list[Play]], base: Iterable[Play]) -> None:
+def print_change(days: Mapping[str, list[MeasuredRun]], base: Iterable[MeasuredRun]) -> None:
     """Print the mean change of the score of each day against base runs of the same seeds."""
-    before = {(play.day, play.seed): play.worth for play in base}
+    before = {(play.day, play.seed): play.score for play in base}
     print("\n| day | pairs | change of the score |\n| --- | --- | --- |")
     all_changes: list[float] = []
     for day, plays in days.items():
         changes = [
-            play.worth - before[play.day, play.seed]
+            play.score - before[play.day, play.seed]
             for play in plays
             if (play.day, play.seed) in before
         ]
@@ -190,11 +190,11 @@
     parser.add_argument("folder", type=Path)
     parser.add_argument("--base", type=Path)
     options = parser.parse_args()
-    days = by_day(read_plays(options.folder))
-    print_worth(days)
+    days = by_day(read_runs(options.folder))
+    print_scores(days)
     print_causes(days)
     if options.base is not None:
-        print_change(days, read_plays(options.base))
+        print_change(days, read_runs(options.base))
 
 
 if __name__ == "__main__":
--- a/standins/limit_checks.py
+++ b/standins/limit_checks.py
@@ -104,7 +104,7 @@
     for limit, end_s in zip(limits, ends_s, strict=True):
         if end_s <= from_s or limit.since_s > until_s:
             continue
-        if limit.per_s is None:
+        if limit.limit_per_s is None:
             return None
-        highest = max(limit.per_s, highest or 0.0)
+        highest = max(limit.limit_per_s, highest or 0.0)
     return highest
--- a/standins/notice_emitter.py
+++ b/standins/notice_emitter.py
@@ -29,7 +29,7 @@
 class AnnouncedLimit:
     """A limit in requests per second from ``since_s`` on; None: no limit."""
 
-    per_s: float | None
+    limit_per_s: float | None
     since_s: float
 
 
@@ -59,7 +59,7 @@
     @property
     def limit_per_s(self) -> float | None:
         """The limit that answers announce now."""
-        return self.limits[-1].per_s if self.limits else None
+        return self.limits[-1].limit_per_s if self.limits else None
 
     def headers(self, request: Request | None = None) -> dict[str, str]:
         """Return the notice headers of an answer; record its request if a limit is announced."""
--- a/standins/soak/disruptions.py
+++ b/standins/soak/disruptions.py
@@ -59,7 +59,7 @@
         self._all.append(Disruption(what, router, now_s, now_s))
         self.log_line(what + self._router_suffix(router))
 
-    def undisturbed_since_s(self, at_s: float) -> float | None:
+    def undisrupted_since_s(self, at_s: float) -> float | None:
         """Return since when the store and all links have worked; None if they don't at ``at_s``.
 
         The contact time after a disruption counts as disrupted.
@@ -82,7 +82,7 @@
             for disruption in self._all
         )
 
-    def process_disturbed_between(self, router: int, from_s: float, until_s: float) -> bool:
+    def process_disrupted_between(self, router: int, from_s: float, until_s: float) -> bool:
         """Return whether a router's process was stopped, restarted or stalled in an interval."""
         return any(
             disruption.router == router
--- a/standins/soak/faults/store_faults.py
+++ b/standins/soak/faults/store_faults.py
@@ -12,7 +12,7 @@
 
 MIN_FAULT_S, MAX_FAULT_S = 1.0, 6.0
 #: Maximum age of a backup when the store goes down to be restored from it.
-MAX_COPY_AGE_S = 4.0
+MAX_BACKUP_AGE_S = 4.0
 #: Downtime of the store during a restore.
 MIN_DOWN_S, MAX_DOWN_S = 0.3, 2.5
 
@@ -40,8 +40,8 @@
             return
         store = self._context.platform.store
         for _ in range(self._random.choice((1, 1, 2))):
-            copy = store.copy()
-            await asyncio.sleep(self._random.uniform(0.0, MAX_COPY_AGE_S))
+            copy = store.back_up()
+            await asyncio.sleep(self._random.uniform(0.0, MAX_BACKUP_AGE_S))
             with self._context.disruptions.during("store comes back from a copy"):
                 store.down = True
                 await asyncio.sleep(self._random.uniform(MIN_DOWN_S, MAX_DOWN_S))
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -237,7 +237,7 @@
 
         def excused(router: int, from_s: float, until_s: float) -> bool:
             is_earlier_build = from_s < upgraded_s[router]
-            return is_earlier_build or disruptions.process_disturbed_between(
+            return is_earlier_build or disruptions.process_disrupted_between(
                 router, from_s, until_s
             )
 
--- a/standins/soak/weights_checks.py
+++ b/standins/soak/weights_checks.py
@@ -41,7 +41,7 @@
     late = []
     for generation in generations:
         newer = [item for item in published if item.version > generation.version]
-        undisturbed_s = disruptions.undisturbed_since_s(generation.started_at_s)
+        undisturbed_s = disruptions.undisrupted_since_s(generation.started_at_s)
         router = senders[generation.request_id].router
         if not newer or undisturbed_s is None or generation.arrived_at_s < undisturbed_s:
             continue
--- a/standins/store_server.py
+++ b/standins/store_server.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class StoreCopy:
+class StoreBackup:
     """A backup of the store; ``leases`` maps ids to the remaining and the full TTL in seconds."""
 
     items: dict[str, dict[str, Any]]
@@ -87,17 +87,17 @@
         item = self._items.get(key)
         return base64.b64decode(item["Value"]).decode() if item else None
 
-    def copy(self) -> StoreCopy:
+    def back_up(self) -> StoreBackup:
         """Return a backup of the current state."""
         now_s = asyncio.get_running_loop().time()
         leases = {
             lease: (until_s - now_s, ttl_s) for lease, (until_s, ttl_s) in self._leases.items()
         }
-        return StoreCopy(
+        return StoreBackup(
             dict(self._items), list(self._history), self.revision, leases, self._last_lease
         )
 
-    def restore(self, copy: StoreCopy) -> None:
+    def restore(self, copy: StoreBackup) -> None:
         """Restore a backup in a new era.
 
         Operators and replicas write their current items again; those that only the backup has lapse
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -14,7 +14,7 @@
             FailureKind.BACKEND_FAILED,
             FailureKind.STREAM_BROKEN,
             FailureKind.DEADLINE_EXCEEDED,
-            FailureKind.CALLER_LEFT,
+            FailureKind.CALLER_DISCONNECTED,
             FailureKind.OUTCOME_UNKNOWN,
             FailureKind.CLAIM_HELD,
             FailureKind.CLAIM_NO_MAJORITY,
--- a/tests/test_failures.py
+++ b/tests/test_gateway_failures.py
@@ -206,9 +206,9 @@
         leader = Leadership(store, "/leader", "one", clock=lambda: now_s[0])
         fence = leader.acquire_or_renew()
         self.assertGreater(fence, 0)
-        self.assertTrue(leader.still_valid())
+        self.assertTrue(leader.is_valid())
         now_s[0] += 5.0
-        self.assertFalse(leader.still_valid())
+        self.assertFalse(leader.is_valid())
         other = Leadership(store, "/leader", "two")
         self.assertEqual(other.acquire_or_renew(), 0)
 
--- a/tests/test_gateway_suspension.py
+++ b/tests/test_gateway_suspension.py
@@ -39,7 +39,7 @@
             leader = Leadership(granting_store(), "/leader", "one")
             self.assertTrue(leader.acquire_or_renew())
             with suspended(suspended_s):
-                self.assertEqual(leader.still_valid(), suspended_s == 1.0, suspended_s)
+                self.assertEqual(leader.is_valid(), suspended_s == 1.0, suspended_s)
 
     def test_deadlines_pass_during_a_suspension(self) -> None:
         connection, other = socket.socketpair()
--- a/tests/test_soak_promises.py
+++ b/tests/test_soak_checks.py
@@ -254,7 +254,7 @@
 
     def violations(self) -> int:
         emitters = [("i-1", self.notices)]
-        return len(check_notices(emitters, self.senders, self.log.process_disturbed_between))
+        return len(check_notices(emitters, self.senders, self.log.process_disrupted_between))
 
     def test_a_request_over_two_seconds_after_a_draining_answer(self) -> None:
         self.notices.draining_answers.append(self.arrive(10.0))
--- a/tests/test_store_restore_whole.py
+++ b/tests/test_store_restore_whole.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from standins.store_server import StoreCopy
+from standins.store_server import StoreBackup
 from tests.loopback_case import LoopbackTestCase
 
 BACKUP_AGE_S = 2.0
@@ -21,7 +21,7 @@
     async def _lose_recent_writes(self) -> None:
         """Restore the store from a backup, which loses the writes of the last seconds."""
         store = self.deployment.store
-        backup: StoreCopy = store.copy()
+        backup: StoreBackup = store.back_up()
         sending = asyncio.create_task(self.send_for(BACKUP_AGE_S + OUTAGE_S))
         await asyncio.sleep(BACKUP_AGE_S / 2)
         for number in range(LOST_CHANGES):
--- a/tests/test_what_binds.py
+++ b/tests/test_what_binds.py
@@ -15,8 +15,8 @@
     mean_and_half_width,
     print_causes,
     print_change,
-    print_worth,
-    read_plays,
+    print_scores,
+    read_runs,
 )
 
 
@@ -71,12 +71,12 @@
                 Path(folder, f"scale-1-{seed}.json").write_text(json.dumps(report(after)))
                 Path(base, f"scale-1-{seed}.json").write_text(json.dumps(report(before)))
             Path(folder, "scale-1-1.log").write_text(sent("a", 0.9, 1_000) + "\n" + done("a", 0.8))
-            days = by_day(read_plays(Path(folder)))
+            days = by_day(read_runs(Path(folder)))
             out = io.StringIO()
             with contextlib.redirect_stdout(out):
-                print_worth(days)
+                print_scores(days)
                 print_causes(days)
-                print_change(days, read_plays(Path(base)))
+                print_change(days, read_runs(Path(base)))
         text = out.getvalue()
         self.assertIn("| scale-1 | 2 | 0.700 (0.600) | 0.900 |", text)
         self.assertIn("| scale-1 | deadline 3.0 | queue, foreseen 0.5 | 0 |", text)
--- a/winchfork/cli/day_figures.py
+++ b/winchfork/cli/day_figures.py
@@ -59,7 +59,7 @@
 class DayFigures(msgspec.Struct, frozen=True):
     """Figures of one day; seconds count from the first event, at Unix time ``began_s``."""
 
-    began_s: float
+    started_at_s: float
     seconds: int
     outcomes: dict[str, Counter[int]]
     first_event_s: dict[int, list[float]]
--- a/winchfork/cli/log_commands.py
+++ b/winchfork/cli/log_commands.py
@@ -47,7 +47,7 @@
             remedy="name log files written by routers",
         )
         return print_failure(empty)
-    began = datetime.fromtimestamp(day.began_s, UTC).strftime("%Y-%m-%d %H:%M:%S UTC")
+    began = datetime.fromtimestamp(day.started_at_s, UTC).strftime("%Y-%m-%d %H:%M:%S UTC")
     try:
         draw_day(day, arguments.out, f"{len(arguments.log)} logs from {began}")
     except (OSError, ValueError) as error:
--- a/winchfork/cluster/messages.py
+++ b/winchfork/cluster/messages.py
@@ -42,7 +42,7 @@
 
     replica_id: str
     incarnation: int
-    held: tuple[int, ...]
+    cached: tuple[int, ...]
     removed: tuple[int, ...]
     reset: bool = False
 
--- a/winchfork/cluster/node.py
+++ b/winchfork/cluster/node.py
@@ -260,8 +260,8 @@
                 index.forget(message.replica_id)
             if message.removed:
                 index.drop_uncached(message.replica_id, message.incarnation, message.removed, 0)
-            if message.held:
-                index.assume_stored(message.replica_id, message.incarnation, message.held)
+            if message.cached:
+                index.assume_stored(message.replica_id, message.incarnation, message.cached)
 
     def _on_replica_update(self, message: ReplicaUpdate, sender: str) -> None:
         with self.state.lock:
--- a/winchfork/cluster/placement_lookup.py
+++ b/winchfork/cluster/placement_lookup.py
@@ -76,7 +76,7 @@
         update = CacheUpdate(replica_id, identity.incarnation, tuple(keys), ())
         state = self._node.state
         with state.lock:
-            state.index.assume_stored(update.replica_id, update.incarnation, update.held)
+            state.index.assume_stored(update.replica_id, update.incarnation, update.cached)
         owner = self._node.owner_of(prefix.family)
         if owner is not None and owner.member_id != state.own_id:
             self._node.transport.send(owner.peer_address, update)
--- a/winchfork/control/leader.py
+++ b/winchfork/control/leader.py
@@ -49,7 +49,7 @@
         self._lose()
         return self._acquire()
 
-    def still_valid(self) -> bool:
+    def is_valid(self) -> bool:
         """Return, without I/O, whether the lease is still valid; check before each order."""
         return self._fence != 0 and self._clock() < self._valid_until_s
 
@@ -75,4 +75,4 @@
         self._fence = revision
         self._valid_until_s = sent_at_s + LEASE_S - _SAFETY_MARGIN_S
         log_event("leadership_taken", key=self._key, fence=revision)
-        return revision if self.still_valid() else 0
+        return revision if self.is_valid() else 0
--- a/winchfork/control/rollout.py
+++ b/winchfork/control/rollout.py
@@ -126,7 +126,7 @@
             if load is not None and not load.done():
                 continue
             active = sum(1 for future in self._loading.values() if not future.done())
-            if active >= target.max_loading or not self._leadership.still_valid():
+            if active >= target.max_loading or not self._leadership.is_valid():
                 return
             self._loading[replica.replica_id] = self._loaders.submit(
                 self._load, replica, target, self._fence
--- a/winchfork/errors.py
+++ b/winchfork/errors.py
@@ -40,7 +40,7 @@
     BACKEND_REFUSED = "backend_refused"
     FENCE_MISMATCH = "fence_mismatch"
     STREAM_BROKEN = "stream_broken"
-    CALLER_LEFT = "caller_left"
+    CALLER_DISCONNECTED = "caller_left"
     CONNECTION_REFUSED = "connection_refused"
     CRASHES_REPLICAS = "ends_replicas"
     CLAIM_HELD = "claim_held"
--- a/winchfork/gateway/caller.py
+++ b/winchfork/gateway/caller.py
@@ -69,7 +69,7 @@
             self._next_peek_s = now_s + _PEEK_PERIOD_S
             self._disconnected = self._disconnected or self._check_disconnected()
         if self._disconnected:
-            return FailureKind.CALLER_LEFT.because("the caller closed the connection")
+            return FailureKind.CALLER_DISCONNECTED.because("the caller closed the connection")
         return None
 
     def remaining_s(self) -> float:
@@ -128,7 +128,7 @@
             # werkzeug writes the status and headers; the chunks are written to the socket directly.
             self._start_response("200 OK", headers)(b"")
         except OSError as error:
-            return FailureKind.CALLER_LEFT.because(
+            return FailureKind.CALLER_DISCONNECTED.because(
                 f"the caller stopped reading: {type(error).__name__}"
             )
         self._body = DirectStream(self._connection)
--- a/winchfork/gateway/direct_stream.py
+++ b/winchfork/gateway/direct_stream.py
@@ -83,6 +83,6 @@
                     self._fail(f"the caller stopped reading: {type(error).__name__}")
 
     def _fail(self, reason: str) -> None:
-        self._failure = FailureKind.CALLER_LEFT.because(reason)
+        self._failure = FailureKind.CALLER_DISCONNECTED.because(reason)
         self._backlog.clear()
         self._changed.notify_all()
--- a/winchfork/gateway/generation.py
+++ b/winchfork/gateway/generation.py
@@ -39,7 +39,7 @@
 from winchfork.gateway.stream_progress import StreamProgress
 
 #: Failures after which no other attempt is made: the caller has left, or its deadline passed.
-_FINAL_FAILURES = (FailureKind.CALLER_LEFT, FailureKind.DEADLINE_EXCEEDED)
+_FINAL_FAILURES = (FailureKind.CALLER_DISCONNECTED, FailureKind.DEADLINE_EXCEEDED)
 #: Failures of an engine that has not started the attempt; no cancellation is sent for them.
 _NOT_STARTED_FAILURES = (FailureKind.FENCE_MISMATCH, FailureKind.NOT_ACCEPTING_WORK)
 #: Failures after which this daemon avoids the replica for a while.
--- a/winchfork/gateway/relay.py
+++ b/winchfork/gateway/relay.py
@@ -103,7 +103,7 @@
             failure = answer
             self._record_failure(request_id, replica, failure)
             excluded.add(replica.replica_id)
-            if failure.kind in (FailureKind.CALLER_LEFT, FailureKind.DEADLINE_EXCEEDED):
+            if failure.kind in (FailureKind.CALLER_DISCONNECTED, FailureKind.DEADLINE_EXCEEDED):
                 return failure
         return failure
 
--- a/winchfork/gateway/requests.py
+++ b/winchfork/gateway/requests.py
@@ -103,7 +103,9 @@
             "the body did not arrive in time", remedy="send the whole body without pauses"
         )
     except (ClientDisconnected, OSError):
-        return FailureKind.CALLER_LEFT.because("the connection ended before the body was complete")
+        return FailureKind.CALLER_DISCONNECTED.because(
+            "the connection ended before the body was complete"
+        )
 
 
 def parse_generation(body: bytes, *, is_chat: bool) -> GenerationRequest | Failure:
--- a/winchfork/gateway/responses.py
+++ b/winchfork/gateway/responses.py
@@ -20,7 +20,7 @@
     FailureKind.SENDER_STALLED: 408,
     FailureKind.CLAIM_HELD: 409,
     FailureKind.OVERLOADED: 429,
-    FailureKind.CALLER_LEFT: 499,
+    FailureKind.CALLER_DISCONNECTED: 499,
     FailureKind.DEADLINE_EXCEEDED: 504,
     FailureKind.OUTCOME_UNKNOWN: 502,
     FailureKind.INTERNAL: 500,
