--- a/winchfork/router/attempt.py
+++ b/winchfork/router/attempt.py
@@ -44,7 +44,7 @@
     ``prefill_tokens`` are the prompt tokens that the replica has to process, ``memory_tokens`` the
     most cache memory that the run may use, in tokens. ``expected_end_at_s`` is when the run is
     expected to end, on the loop's clock. ``expected_s`` is the expected time in seconds to the
-    first event, or to the whole answer if it has no events.
+    first event, or to the whole answer if it has no events. ``no_body``: the answer has no body.
     """
 
     replica: RelayReplica
@@ -58,10 +58,12 @@
     no_body: bool
     expected_end_at_s: float
     expected_s: float = 1.0
+    #: Called once, when the first event has been received.
     on_prefill_done: Callable[[], None] = lambda: None
     #: Called with the notice in each answer head on the connection; the flag says whether the head
     #: is authentic and answers this request.
     on_notice: Callable[[AnswerNotice, bool], None] = lambda notice, is_answer: None
+    #: Called each time that whole events have been received.
     on_events: Callable[[], None] = lambda: None
 
 
--- a/winchfork/router/attempt_planner.py
+++ b/winchfork/router/attempt_planner.py
@@ -69,7 +69,7 @@
                 settings.zone, now_s, settings.regions, delay.task_crossing_s, connected
             )
             return place_task(task, candidates)
-        speed_tokens_per_s = self._speed.prefill_tokens_per_s
+        prefill_tokens_per_s = self._speed.prefill_tokens_per_s
         request = PromptPlacementRequest(
             prompt=self._prompt,
             scope=self._scope(self._prompt),
@@ -79,12 +79,12 @@
             copy_tokens_per_s=self._state.copy_tokens_per_s(self.service),
             cache_tokens=self._state.cache_capacity_tokens(self.service),
             mean_run_s=self._state.mean_run_s,
-            max_jitter_s=max_jitter_s(self._prompt, self._state.daemon_count, speed_tokens_per_s),
+            max_jitter_s=max_jitter_s(self._prompt, self._state.daemon_count, prefill_tokens_per_s),
             jitter_key=member_hash(self._admitted.fields.request_id),
             old_versions=self._old_versions(self._prompt.model, candidates),
             stores=self._stores,
             gap_target_s=self._admitted.route.gap_target_s,
-            prefill_tokens_per_s=speed_tokens_per_s,
+            prefill_tokens_per_s=prefill_tokens_per_s,
             regions=settings.regions,
             cross_region_cost_s=delay.prompt_crossing_s,
             connected=connected,
@@ -119,13 +119,16 @@
         )
 
     def min_run_s(self) -> float:
-        """Return the shortest expected run in seconds, from the recent time per output token."""
+        """Return the seconds that a run is expected to take at least; 0 without a prompt.
+
+        Computed from the output tokens and the average time per output token of recent runs.
+        """
         return self._prompt.output_tokens * self._state.run_s_per_token if self._prompt else 0.0
 
     def expected_wait_s(self) -> float | None:
-        """Return the expected seconds at the best replica, whether or not it was attempted.
+        """Return the expected cost in seconds at the best of all replicas, attempted ones included.
 
-        If none accepts requests now: the seconds until the first will, or None if none will.
+        If none accepts requests now, return the seconds until the first will, or None if none will.
         """
         decision = self.place(set())
         return decision.cost_s if decision is not None else self.next_available_in_s(set())
--- a/winchfork/router/connection_pool.py
+++ b/winchfork/router/connection_pool.py
@@ -44,7 +44,10 @@
         return any(connection.is_usable(now_s) for connection in self._idle.get(address, ()))
 
     async def acquire(self, address: str, limit: int) -> ReplicaConnection | Failure:
-        """Return an idle or new connection; ``limit`` bounds the open ones to the address."""
+        """Return an idle or new connection; ``limit`` bounds the open ones to the address.
+
+        A failure means that nothing was sent.
+        """
         idle = self.pop_idle(address)
         if idle is not None:
             return idle
--- a/winchfork/router/header_codec.py
+++ b/winchfork/router/header_codec.py
@@ -54,7 +54,8 @@
 
     ``authentic``: the answer carries the replica's proof of origin. ``not_run``: the replica proves
     that it did not run the request. ``misdirected``: it did not run it either, since the request
-    expected another replica, or other weights of the replica ``replica_id``.
+    expected another replica, or other weights of the replica ``replica_id``. ``notice``: what the
+    replica reports of itself.
     """
 
     request_id: str | None
--- a/winchfork/router/http_types.py
+++ b/winchfork/router/http_types.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages and the events in the life of a request."""
+"""HTTP/1.1 messages, and the events that a request in progress receives."""
 
 from __future__ import annotations
 
@@ -131,7 +131,7 @@
 
 
 class MoveRequested(msgspec.Struct, frozen=True):
-    """The attempt at this replica is to be ended, and the request sent to another."""
+    """The attempt at this replica is to end, and the request to continue at another one."""
 
     replica_id: str
 
--- a/winchfork/router/outcome_recorder.py
+++ b/winchfork/router/outcome_recorder.py
@@ -55,7 +55,10 @@
     def _record_acceptance(
         self, replica: RelayReplica, outcome: Outcome, record: RequestRecord
     ) -> None:
-        """Record whether the replica accepted the request; decides its trial after a backoff."""
+        """Record whether the replica accepted the request.
+
+        For a replica on trial after a backoff, this is the result of the trial.
+        """
         if isinstance(outcome, NotRun):
             replica.notice.record_answer(record.sent_at_s, refused=True)
         elif isinstance(outcome, Delivered) or _has_answer(outcome):
--- a/winchfork/router/pooled_http_client.py
+++ b/winchfork/router/pooled_http_client.py
@@ -21,7 +21,7 @@
 from winchfork.router.inbox import Inbox
 from winchfork.router.replica_connection import Exchange
 
-#: Open connections to one address.
+#: Limit on the open connections to one address.
 _MAX_CONNECTIONS = 8
 
 
@@ -75,13 +75,13 @@
             lines.append((b"Content-Length", str(len(body)).encode()))
         message = render_headers(b"%b %b HTTP/1.1" % (method, target), lines) + (body or b"")
         connection.start(message, Exchange(inbox.put, lambda head: True, on_head=on_head))
-        answer = _ReplyReader(inbox)
+        reader = _ReplyReader(inbox)
         try:
             async with asyncio.timeout(timeout_s):
-                return await answer.wait()
+                return await reader.wait()
         except TimeoutError:
-            # After a stall of the process the timer fires before an answer that has arrived.
-            arrived = answer.pop_arrived()
+            # After a stall of the process the timer may fire although the answer has arrived.
+            arrived = reader.pop_arrived()
             if arrived is not None:
                 return arrived
             connection.abandon()
--- a/winchfork/router/refusal_writer.py
+++ b/winchfork/router/refusal_writer.py
@@ -13,11 +13,11 @@
 
 #: Seconds that the other daemons wait for the one that sent the last run to write the record.
 OTHERS_DELAY_S = 0.4
-#: Seconds of random delay of each other daemon for each daemon of the fleet.
+#: Limit of a random delay that the other daemons add, in seconds per daemon of the fleet.
 SPREAD_PER_DAEMON_S = 0.02
-#: Seconds from a failed write to the retry, with a jitter of half that.
+#: Mean seconds from a failed write to the retry; varied at random by up to half.
 RETRY_DELAY_S = 0.6
-#: Records that wait to be written; further ones stay in memory only.
+#: Limit of the records that wait to be written; further ones stay in memory only.
 MAX_PENDING = 64
 
 
--- a/winchfork/router/refusals.py
+++ b/winchfork/router/refusals.py
@@ -23,7 +23,7 @@
 }
 #: Seconds in Retry-After when the failure gives no estimate.
 DEFAULT_RETRY_AFTER_S = 0.25
-#: Jitter added to Retry-After: a share of the wait, and its minimum in seconds.
+#: Largest jitter added to Retry-After: a share of the wait, but at least MIN_JITTER_S seconds.
 JITTER_SHARE = 0.5
 MIN_JITTER_S = 0.1
 
--- a/winchfork/router/relayed_request.py
+++ b/winchfork/router/relayed_request.py
@@ -192,7 +192,7 @@
         return outcome
 
     async def _connect(self, replica: RelayReplica) -> ReplicaConnection | NotRun | StalePlacement:
-        """Return a connection, if the replica may still be sent the request once it is open."""
+        """Return a connection, or the outcome if the request cannot be sent to the replica."""
         pool = self._service.pool
         address = replica.listing.address
         idle = pool.pop_idle(address)
@@ -278,7 +278,7 @@
         self._attempted.add(replica.replica_id)
         failed_by_replica = outcome.answer is not None and outcome.answer.head.status < 500
         has_others = self._planner.has_candidates(self._attempted)
-        # A request that may have crashed replicas is not retried on behalf of the caller.
+        # A request under which several replicas may have crashed is not sent to one more.
         crashes_replicas = (
             self._crashes.crash_count(self._admitted.digest) >= MAX_CRASHES_PER_ATTEMPT
         )
@@ -309,7 +309,7 @@
         self._answer_failure(FailureKind.DEADLINE_EXCEEDED.because(reason, ran=self._run_state()))
 
     def _answer_failure(self, failure: Failure) -> None:
-        """Send the final answer of a request that no replica answered."""
+        """Send the final answer for a failure, or abort an answer that has started."""
         self._record.outcome = failure.kind.value
         self._record.reason = failure.reason
         if self._answer.ended:
--- a/winchfork/router/replica_connection.py
+++ b/winchfork/router/replica_connection.py
@@ -61,7 +61,10 @@
 
 
 class ReplicaConnection(asyncio.Protocol):
-    """One connection. :meth:`start` begins an exchange; ``on_idle`` is called when it has ended."""
+    """One connection. :meth:`start` begins an exchange.
+
+    ``on_idle`` is called when the exchange has ended, and when the connection has closed.
+    """
 
     def __init__(self, on_idle: Callable[[ReplicaConnection], None]) -> None:
         self._on_idle = on_idle
@@ -139,10 +142,10 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._fail("sent a protocol upgrade")
+            self._fail("received a protocol upgrade")
         except httptools.HttpParserError as error:
             # An answer that a callback has already completed stays complete.
-            self._fail(f"sent invalid HTTP: {type(error).__name__}")
+            self._fail(f"received invalid HTTP: {type(error).__name__}")
 
     def eof_received(self) -> bool:
         """Complete an answer without framing; any other answer is truncated."""
@@ -195,7 +198,7 @@
         self._is_own_answer = self._exchange.is_own(head)
         if not self._is_own_answer:
             if self._until_close:
-                self._fail("sent an answer to another request, without framing")
+                self._fail("received an answer to another request, without framing")
             return
         self._exchange.deliver(head)
         if self._exchange.no_body:
--- a/winchfork/router/replica_search.py
+++ b/winchfork/router/replica_search.py
@@ -70,7 +70,7 @@
         self._inbox = inbox
         self._queue = state.permit_queues[planner.service]
         self._ticket: PermitTicket | None = None
-        self._waits_for_permit = False
+        self._wait_counted = False
 
     async def find(self, ran: Callable[[], RunState]) -> RelayDecision | Failure | Stopped:
         """Return a placement, after a wait if a replica is expected to accept in time.
@@ -144,8 +144,8 @@
 
     def _count_wait(self) -> None:
         """Count, once per request, that it waits for a permit."""
-        if self._ticket is not None and not self._waits_for_permit:
-            self._waits_for_permit = True
+        if self._ticket is not None and not self._wait_counted:
+            self._wait_counted = True
             self._state.metrics.limit_effects.labels("waited").inc()
 
     def _leave_queue(self) -> None:
--- a/winchfork/router/replica_selector.py
+++ b/winchfork/router/replica_selector.py
@@ -106,9 +106,10 @@
         ]
 
     def fleet_permit_interval_s(self, service: str) -> float | None:
-        """Return the shortest time between permits of one replica over the whole fleet, in seconds.
+        """Return the shortest interval in seconds at which a replica takes requests by its limit.
 
-        Return None if no replica of the service has a request limit.
+        The interval counts the requests of all daemons together. Return None if no replica of the
+        service has a request limit.
         """
         intervals = [
             replica.notice.limit.interval_s / replica.notice.limit.holders
@@ -117,7 +118,10 @@
         return min(intervals, default=None)
 
     def describe_unavailable(self, service: str) -> str:
-        """Return how many of a service's replicas accept no requests and why, as text."""
+        """Return a text with the numbers of replicas that accept no requests, by reason.
+
+        The text is empty if no reason applies.
+        """
         now_s = self._state.clock()
         replicas = self._state.fleet.of_service(service)
         draining = sum(not replica.is_in_service for replica in replicas)
--- a/winchfork/router/request_record.py
+++ b/winchfork/router/request_record.py
@@ -16,7 +16,10 @@
 
 
 class RequestRecord(msgspec.Struct):
-    """Times and outcome of one request; ``..._at_s`` are seconds of ``clock``."""
+    """Times and outcome of one request.
+
+    ``..._at_s`` are seconds of ``clock``; ``first_event_s`` counts from ``received_at_s``.
+    """
 
     state: RouterState
     request_id: str
--- a/winchfork/router/request_retries.py
+++ b/winchfork/router/request_retries.py
@@ -44,7 +44,7 @@
 
     @property
     def waited_s(self) -> float:
-        """Seconds since the request was received or last sent."""
+        """Seconds since the request was last sent, or since it was received if it was not sent."""
         return self._state.clock() - max(self.record.received_at_s, self.record.sent_at_s)
 
     def latest_start_in_s(self, expected_run_s: float) -> float:
@@ -56,7 +56,10 @@
         return self.record.attempts < max_attempts and self.time_left_s >= MIN_TIME_LEFT_S
 
     def try_spend(self, max_attempts: int, reserve: float = 0.0) -> bool:
-        """Spend one retry and leave a share ``reserve`` of the budget; return False if denied."""
+        """Spend one retry of the budget; return False if it is denied.
+
+        It is also denied if less than the share ``reserve`` of the budget would be left.
+        """
         denial = self._denial(max_attempts, reserve)
         self.record.retry_denied = denial.value if denial is not None else ""
         return denial is None
--- a/winchfork/router/service.py
+++ b/winchfork/router/service.py
@@ -47,8 +47,8 @@
         self._tasks: dict[asyncio.Task[None], RelayedRequest] = {}
         state.is_connected = pool.is_connected
         state.on_replica_hold = self._replica_held
-        state.on_unresponsive = self._replica_silent
-        state.on_zone_unreachable = self._zone_lost
+        state.on_unresponsive = self._replica_unreachable
+        state.on_zone_unreachable = self._zone_unreachable
         self._probes = ReplicaProbes(state, pool)
         state.crashes.on_connection_broken = self._probes.schedule
 
@@ -117,14 +117,14 @@
         for request in list(self._tasks.values()):
             request.moves.replica_held(replica)
 
-    def _replica_silent(self, replica: RelayReplica) -> None:
+    def _replica_unreachable(self, replica: RelayReplica) -> None:
         for request in list(self._tasks.values()):
             request.moves.replica_unreachable(replica)
 
-    def _zone_lost(self, zone: str) -> None:
+    def _zone_unreachable(self, zone: str) -> None:
         lost = [item for item in self.state.fleet.replicas() if item.listing.zone == zone]
         for replica in lost:
-            self._replica_silent(replica)
+            self._replica_unreachable(replica)
 
     # Maintenance
 
--- a/winchfork/router/stream_moves.py
+++ b/winchfork/router/stream_moves.py
@@ -23,7 +23,8 @@
 #: Seconds before the weights expire at which a stream that has not begun is withdrawn; covers the
 #: delays of the withdrawal and of the announcement of the newer version.
 WITHDRAWAL_LEAD_S = 0.3
-#: Share of the retry budget that moves away from a weights load leave for failures.
+#: Share of the retry budget that is reserved for failures: :meth:`StreamMoves.replica_held` does
+#: not spend it.
 _FAILURE_RESERVE = 0.5
 
 
@@ -86,9 +87,10 @@
             self._move("answer_given_up", replica)
 
     def _schedule_withdrawal(self, plan: AttemptPlan) -> asyncio.TimerHandle | None:
-        """Schedule a withdrawal, for a stream that has not begun shortly before its weights expire.
+        """Schedule the withdrawal of a stream that has not begun shortly before its weights expire.
 
-        The expected start may be too early, since other daemons send prompts at the same time.
+        It may begin later than expected, since other daemons send prompts at the same time. Return
+        None if the stream cannot be resumed or its weights do not expire before its deadline.
         """
         expires_at_s = self._state.replica_selector.weights_expire_at_s(
             plan.model, plan.weights_version
