--- a/tests/relay_support.py
+++ b/tests/relay_support.py
@@ -42,6 +42,7 @@
     body: bytes
 
 
+#: Answers one request; returns whether the connection stays open.
 Script = Callable[[ReceivedRequest, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[bool]]
 
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Invalid input to each interface is refused with a typed failure that names the place."""
+"""Invalid input to each interface is refused with a typed failure that names the mistake."""
 
 from __future__ import annotations
 
--- a/tests/test_early_stop.py
+++ b/tests/test_early_stop.py
@@ -15,7 +15,7 @@
 from standins.soak.routers import SoakRouter
 
 _ROOT = Path(__file__).resolve().parent.parent
-#: A process that sends itself SIGTERM once all modules are imported.
+#: A program that sends itself SIGTERM once all modules are imported.
 _PROGRAM = """
 import os, signal, sys
 import winchfork.platform.__main__
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -60,12 +60,12 @@
 class RetryAfterTest(unittest.TestCase):
     def test_jitter_is_proportional_to_the_wait(self) -> None:
         generator = random.Random(1)
-        for wait_s, min_jitter_s in ((0.01, MIN_JITTER_S), (4.0, 2.0)):
+        for wait_s, max_jitter_s in ((0.01, MIN_JITTER_S), (4.0, 2.0)):
             failure = FailureKind.NO_REPLICA.because("none", retry_after_s=wait_s)
             waits = [
                 float(dict(refusal_answer(failure, None, generator).headers)[b"Retry-After"])
                 for _ in range(300)
             ]
             self.assertGreaterEqual(min(waits), wait_s - 0.01)
-            self.assertGreater(max(waits) - min(waits), 0.8 * min_jitter_s)
-            self.assertLessEqual(max(waits), wait_s + min_jitter_s + 0.01)
+            self.assertGreater(max(waits) - min(waits), 0.8 * max_jitter_s)
+            self.assertLessEqual(max(waits), wait_s + max_jitter_s + 0.01)
--- a/tests/test_stream_moves.py
+++ b/tests/test_stream_moves.py
@@ -1,4 +1,4 @@
-"""Moves of streams: before a load of weights, and before the weights of a queued one expire."""
+"""Moves of streams: before a load of weights, and before the weights of a queued stream expire."""
 
 from __future__ import annotations
 
@@ -120,7 +120,7 @@
         self.assertEqual(replicas[1].received, [])
 
     async def test_a_stopping_daemon_moves_nothing(self) -> None:
-        """Guards against a stream that is truncated since the next replica refuses it."""
+        """Guards against a move to a replica that refuses the stream, which truncates it."""
         stream = SlowStream()
         replicas = [ScriptedReplica(stream), ScriptedReplica(answering(rest))]
         relay, answering_task = await self.start_stream(replicas, stream, resumable=True)
