--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -144,7 +144,7 @@
     expected: float = 0.0
     lost: float = 0.0
     excess: float = float("-inf")
-    bytes_a_daemon_s: float = 0.0
+    bytes_per_daemon_s: float = 0.0
 
     @property
     def lost_share(self) -> float:
@@ -213,7 +213,7 @@
         await asyncio.gather(*traffic)
         self._evaluate()
         sent = self.sharing.sent_bytes() - before
-        self.result.bytes_a_daemon_s = sent / seconds / self.count
+        self.result.bytes_per_daemon_s = sent / seconds / self.count
         return self.result
 
     def at(self, delay_s: float, action: Callable[[], object]) -> None:
--- a/tests/test_crash_history.py
+++ b/tests/test_crash_history.py
@@ -132,7 +132,7 @@
 
 class UnrelatedRequestsTest(unittest.TestCase):
     def test_other_requests_are_not_refused_and_few_are_lost(self) -> None:
-        """Five crashing bodies a minute may cost less than one in 500 of the other requests."""
+        """Five crashing bodies a minute cost fewer than one in 500 of the other requests."""
         for seed in (1, 2):
             fleet = simulate(seed, bodies_per_minute=5, guarded=True, seconds=60.0)
             self.assertLessEqual(max(fleet.crashes.values()), CRASHES_TO_REFUSE)
--- a/tests/test_sliding_retry_budget.py
+++ b/tests/test_sliding_retry_budget.py
@@ -42,8 +42,8 @@
                 retries.append(now_s)
         for end_s in [step * 0.25 for step in range(40, 240)]:
             in_window = sum(1 for at_s in retries if end_s - 10.0 < at_s <= end_s)
-            most_requests = max(
+            max_requests = max(
                 sum(1 for at_s in requests if end_s - back - 10.0 < at_s <= end_s - back)
                 for back in (0.0, 5.0, 10.0)
             )
-            self.assertLessEqual(in_window, 0.2 * most_requests + 54.0)
+            self.assertLessEqual(in_window, 0.2 * max_requests + 54.0)
--- a/tests/test_tenant_quota.py
+++ b/tests/test_tenant_quota.py
@@ -172,7 +172,7 @@
 
 
 class StallTest(unittest.TestCase):
-    """The refill during a daemon's stall is released only with the usage of the same time."""
+    """The refill during a daemon's stall is released only once that time's usage is counted."""
 
     RATE_PER_S = 10.0
     BURST = 20.0
--- a/winchfork/core/broken_runs.py
+++ b/winchfork/core/broken_runs.py
@@ -28,7 +28,7 @@
 
 class _BrokenRun(msgspec.Struct):
     at_s: float
-    #: No data was acknowledged before the break, as in a network partition.
+    #: The connection broke because sent data was not acknowledged, as in a network partition.
     silent: bool
     #: The replica accepted a connection after the break, so a crash is unlikely.
     reached_since: bool = False
--- a/winchfork/core/claims.py
+++ b/winchfork/core/claims.py
@@ -64,7 +64,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class VoterPanel:
-    """One epoch of a panel: its voters and the time from which they have authority."""
+    """One epoch of a panel: its voters and the time at which it was activated."""
 
     panel_id: str
     epoch: int
@@ -309,7 +309,10 @@
         return not from_future and stamp_s > self._authority_from_s + self._margins.restart_s
 
     def _evict_oldest_vote(self, now_s: float) -> None:
-        """Drop the oldest vote when full, and the authority over keys that are no newer."""
+        """Drop the oldest vote beyond ``MAX_VOTES``, and the authority over keys up to its stamp.
+
+        If its key has no stamp, the authority over all keys issued up to now is dropped.
+        """
         if len(self._votes) <= MAX_VOTES:
             return
         dropped_key, _ = self._votes.popitem(last=False)
@@ -371,7 +374,7 @@
 
     @property
     def is_decided(self) -> bool:
-        """Whether further replies cannot change the result.
+        """Whether there is no reason to wait for further replies.
 
         True if the claim is won, if a recorded answer is known, or if so many voters abstain that
         no majority is possible and no voter holds the key for an attempt that may still be
--- a/winchfork/core/configuration.py
+++ b/winchfork/core/configuration.py
@@ -125,16 +125,16 @@
         for pool in self.pools:
             if pool.traffic_class is not None and pool.traffic_class not in classes:
                 raise ValueError(
-                    f"pool {pool.name!r} names unknown traffic class {pool.traffic_class!r}"
+                    f"pool {pool.name!r}: {pool.traffic_class!r} is no known traffic class"
                 )
         for rule in self.rules:
             if rule.traffic_class is not None and rule.traffic_class not in classes:
                 raise ValueError(
-                    f"rule {rule.name!r} names unknown traffic class {rule.traffic_class!r}"
+                    f"rule {rule.name!r}: {rule.traffic_class!r} is no known traffic class"
                 )
         hashes = [digest for tenant in self.tenants for digest in tenant.api_key_sha256]
         if len(hashes) != len(set(hashes)):
-            raise ValueError("two tenants share an API key hash")
+            raise ValueError("an API key hash is listed more than once")
         return self
 
 
--- a/winchfork/core/crash_history.py
+++ b/winchfork/core/crash_history.py
@@ -28,8 +28,8 @@
 REPEATED_REFUSAL_S = 24 * 3600.0
 #: Bounds the table of suspect requests.
 MAX_SUSPECTS = 16_384
-#: A request that succeeded within this time is not blamed when several replicas crash in quick
-#: succession while it runs on each of them.
+#: A crash this soon after a success of the request is not attributed to it: a request that many
+#: callers send may be running on several replicas that crash in quick succession.
 RECENT_SUCCESS_S = 3.0
 #: Bounds the table of recently successful requests.
 MAX_RECENT_SUCCESSES = 1_024
@@ -75,7 +75,11 @@
         return True
 
     def crash_count(self, digest: bytes, now_s: float) -> int:
-        """Return how many incarnations have crashed under a request since its last success."""
+        """Return how many incarnations have crashed under a request since its last success.
+
+        The count is at most ``CRASHES_TO_REFUSE``; a request that was refused and not cleared since
+        has that count.
+        """
         if digest in self._refusals:
             return CRASHES_TO_REFUSE
         known = self._live_suspicion(digest, now_s)
--- a/winchfork/core/families.py
+++ b/winchfork/core/families.py
@@ -1,4 +1,4 @@
-"""Prefix families: the assignment of cache blocks to the daemons that index them.
+"""Prefix families: the assignment of cache blocks to their owners, the daemons that index them.
 
 A family is identified by the key at depth ``FAMILY_DEPTH_BLOCKS`` of a chain. Blocks above that
 depth are shared by many families and are identified by their own key.
@@ -17,8 +17,8 @@
     """Return the number of blocks above the family's key, and the keys from it on.
 
     A key is a hash over the whole chain before it, so a replica that holds the family's block
-    holds, or has held, the blocks above it; the owner need not index those. (0, ()) for a short
-    prompt.
+    holds, or has held, the blocks above it; the owner need not index those. (0, ()) for a prompt
+    shorter than one block.
     """
     above = max(0, min(FAMILY_DEPTH_BLOCKS, len(prefix.block_keys)) - 1)
     return above, prefix.block_keys[above:]
--- a/winchfork/core/fence_registry.py
+++ b/winchfork/core/fence_registry.py
@@ -64,7 +64,7 @@
         return self.highest + 1 if self.highest > known.revision else None
 
     def is_restored(self, entry: StorePosition) -> bool:
-        """Whether an entry is known to have been written in an era before its own."""
+        """Whether an entry was restored: it is known from an era before ``entry.era``."""
         return any(
             known.revision == entry.revision and known.era < entry.era for known in self._entries
         )
--- a/winchfork/core/load_gossip.py
+++ b/winchfork/core/load_gossip.py
@@ -1,6 +1,6 @@
 """Gossip of replica loads as small packed entries on membership probes.
 
-A daemon publishes a load that it has read when its quantized level changes, and each daemon
+A daemon that reads a replica's load publishes it when its quantized level changes, and each daemon
 forwards recent changes with the probes that it sends anyway. The cost per daemon is bounded by
 ``MAX_ENTRIES`` per message, and a change reaches a region of n daemons in about log2(n) periods.
 """
@@ -33,7 +33,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class LoadEntry:
-    """One replica's quantized load. ``version`` is the publisher's clock in tenths of a second."""
+    """One replica's quantized load. ``version`` is the publisher's clock in tenths of a second.
+
+    ``running`` counts running and waiting requests, up to ``MAX_RUNNING``.
+    """
 
     replica_hash: int
     version: int
--- a/winchfork/core/membership.py
+++ b/winchfork/core/membership.py
@@ -339,10 +339,10 @@
         self._to_spread.put(record.member_id, SPREAD_FACTOR * rounds)
 
     def _has_suspicion_backlog(self) -> bool:
-        """Whether more than a message's changes are queued, with suspicions or refutations.
+        """Whether more changes are queued than one message holds, including suspicions.
 
-        At the start of a whole fleet many changes are queued without these; that does not count,
-        since daemons that lack members receive records then.
+        Refutations count as suspicions. A backlog without either, as at the start of a whole fleet,
+        does not count: daemons that lack members receive records then.
         """
         if len(self._to_spread) <= PIGGYBACK_CHANGES:
             self._recently_suspected.clear()
--- a/winchfork/core/quota_ledger.py
+++ b/winchfork/core/quota_ledger.py
@@ -140,7 +140,11 @@
 
 
 class _ReceivedTotals(msgspec.Struct):
-    """Totals received from one start of a daemon; ``from_start`` if known since that start."""
+    """Totals received from one start of a daemon.
+
+    ``from_start`` is set if another start of the daemon was known before. All usage of this start
+    then counts when first reported, not only the recent part.
+    """
 
     from_start: bool
     totals: dict[int, QuotaTotals]
@@ -200,7 +204,7 @@
         #: Share of the refill that this daemon may use.
         self.refill_share = RefillShare()
         self._coverage_valid_until_s = math.inf
-        #: Whether the last check came after the end of that validity, as after a stall.
+        #: Whether the last check was the first one after the coverage expired, as after a stall.
         self._was_check_late = False
         #: This daemon's own usage, to be reported to peers.
         self.own_usage = UsageTotals(start_id)
--- a/winchfork/core/region_map.py
+++ b/winchfork/core/region_map.py
@@ -11,7 +11,8 @@
 
 import msgspec
 
-#: The region of a zone that the settings do not list; it counts as near every other zone.
+#: The region of a zone that the settings do not list. Such a zone counts as in the same region as
+#: every other zone.
 UNKNOWN_REGION = ""
 
 
--- a/winchfork/core/request_digest.py
+++ b/winchfork/core/request_digest.py
@@ -12,7 +12,10 @@
 
 
 def request_digest(caller: str, method: bytes, host: str, target: bytes, body: bytes) -> bytes:
-    """Return the digest of a request; ``caller`` is its tenant, or its key where it has none."""
+    """Return the digest of a request.
+
+    ``caller`` is the tenant's name, the API key of an unknown tenant, or empty without a key.
+    """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for field in (caller.encode(), method, host.encode(), target):
         digest.update(len(field).to_bytes(4, "big"))
--- a/winchfork/core/store_outage.py
+++ b/winchfork/core/store_outage.py
@@ -17,7 +17,7 @@
 
 #: A daemon has lost the store after this long without an answer: longest watch plus call timeout.
 MAX_WATCH_S = 2.5
-#: A later reply is ignored, since the peer may have stalled and not tried to reach the store.
+#: A later reply confirms no outage: the peer may have stalled and not tried to reach the store.
 MAX_REPLY_DELAY_S = 0.5
 
 
@@ -37,13 +37,14 @@
     def __init__(self, started_s: float, *, has_peers: bool) -> None:
         self._has_peers = has_peers
         self._started_s = started_s
+        #: Latest time at which the store is known to have answered a daemon (a proof).
         self._proven_s = -math.inf
         self._first_failure_s: float | None = None
         #: Number of peers that must confirm that they had not reached the store.
         self.peers_needed = 1
-        #: Start of the first failed call since the last proof that was begun after a failure.
+        #: Start of the first call since the last proof that began after a failure and failed too.
         self._first_fresh_failure_at_s = math.inf
-        #: Time of the first request to each peer that confirmed it.
+        #: By peer: when the request was sent whose reply first confirmed the outage.
         self._peers_agreed_at_s: dict[str, float] = {}
         self._ended: StoreOutage | None = None
 
--- a/winchfork/core/tenant_quota.py
+++ b/winchfork/core/tenant_quota.py
@@ -68,9 +68,8 @@
 class RefillShare(msgspec.Struct, frozen=True):
     """The share of the refill that a daemon may use.
 
-    ``coverage`` is the share of the fleet whose usage is received, or 0 while a report of the hub
-    is overdue. ``own_share`` is this daemon's own part; with ``is_isolated`` set it may use no more
-    than that.
+    ``coverage`` is the share of the fleet whose usage is received, or 0 while reports are overdue.
+    ``own_share`` is this daemon's own part; with ``is_isolated`` set it may use no more than that.
     """
 
     coverage: float = 1.0
--- a/winchfork/core/zone_hubs.py
+++ b/winchfork/core/zone_hubs.py
@@ -109,7 +109,7 @@
 
     @functools.cached_property
     def _store_region(self) -> str | None:
-        """The region nearest to the store by ``STORE_DELAY_STEP_MS``; None if there is none."""
+        """The region at least ``STORE_DELAY_STEP_MS`` nearer to the store than others, or None."""
         nearest: dict[str, int] = {}
         for hub in (hub for hubs in self.hubs.values() for hub in hubs):
             if hub.status is MemberStatus.ALIVE and hub.store_delay_ms:
