--- a/tests/test_crash_fleet.py
+++ b/tests/test_crash_fleet.py
@@ -45,8 +45,8 @@
     def expire_refusals(self, digest: bytes) -> None:
         """Let a refusal expire on every daemon."""
         for daemon in self.daemons:
-            ledger = daemon.state.crashes.history
-            ledger.refuse(digest, ledger.times_refused(digest), daemon.state.clock())
+            history = daemon.state.crashes.history
+            history.refuse(digest, history.times_refused(digest), daemon.state.clock())
 
     def crash(self, number: int, incarnation: int, digest: bytes) -> None:
         """Let a replica crash while it runs a request that one daemon has sent."""
--- a/tests/test_crash_tracker.py
+++ b/tests/test_crash_tracker.py
@@ -82,7 +82,7 @@
         losing = [ScriptedReplica(answering(empty_answer, keep_open=False)) for _ in range(2)]
         healthy = ScriptedReplica(answering(lambda request: signed(request, b"ok")))
         relay = await self.relay(*losing, healthy, max_attempts=3)
-        # Eight retries at once take the whole retry budget.
+        # Gives this daemon the whole retry budget, since eight retries are made at once.
         relay.state.daemon_count = 1
         answers = await asyncio.gather(*(relay.ask(f"id-{number}") for number in range(4)))
         self.assertEqual([answer.status for answer in answers], [200] * 4)
--- a/winchfork/router/crash_exchange.py
+++ b/winchfork/router/crash_exchange.py
@@ -68,9 +68,9 @@
     def _resend_crash(self, incarnation: int, digests: tuple[bytes, ...]) -> None:
         """Resend the crashes that still count: a cleared one would be recorded anew."""
         now_s = self._state.clock()
-        ledger = self._tracker.history
+        history = self._tracker.history
         remaining = tuple(
-            digest for digest in digests if ledger.has_crash(digest, incarnation, now_s)
+            digest for digest in digests if history.has_crash(digest, incarnation, now_s)
         )
         if remaining:
             self._peers.broadcast(CrashReport(incarnation, remaining))
@@ -86,7 +86,7 @@
     def _queue_cleared(self, digest: bytes, crashes: int) -> None:
         self._pending_cleared.append(digest)
         if crashes >= CRASHES_TO_RUN_ALONE:
-            # One more crash at another daemon would refuse it.
+            # After one more crash, daemons without the clearance would refuse the request.
             self._flush_cleared()
         elif len(self._pending_cleared) == 1:
             self._call_later(BATCH_WINDOW_S, self._flush_cleared)
--- a/winchfork/router/crash_tracker.py
+++ b/winchfork/router/crash_tracker.py
@@ -80,8 +80,8 @@
     async def wait_until_resolved(self, digest: bytes, deadline_s: float) -> None:
         """Wait until it is known whether replicas crashed, if that decides on a retry.
 
-        Wait at most ``MAX_RESOLVE_WAIT_S`` seconds and no longer than ``ends_at_s``, the attempt's
-        deadline.
+        Wait at most ``MAX_RESOLVE_WAIT_S`` seconds, and not beyond ``deadline_s``, at which the
+        attempt ends.
         """
         until_s = min(self._clock() + MAX_RESOLVE_WAIT_S, deadline_s)
         while self._is_unresolved(digest) and self._clock() < until_s:
@@ -179,9 +179,9 @@
         ``is_restored``: the store may have been restored from a backup, so that the record may be
         older than the one known here.
         """
-        newer = self.records.record_outdated(key, value, revision) if is_restored else None
-        if newer is not None:
-            self.on_record_changed(newer, own=False)
+        outdated = self.records.record_outdated(key, value, revision) if is_restored else None
+        if outdated is not None:
+            self.on_record_changed(outdated, own=False)
             return None
         failure = self.records.install(key, value, revision)
         digest = self.records.digest_at(key)
--- a/winchfork/router/evidence_exchange.py
+++ b/winchfork/router/evidence_exchange.py
@@ -2,8 +2,9 @@
 
 Each daemon sends its answer counts since the rollout order to its hubs, as totals, so that the next
 message makes up for a lost one. Hubs sum the counts of their zone and exchange the sums. Every hub
-evaluates the evidence; the first one whose test raises an alarm broadcasts a stop, which requires
-neither a leader nor the store. In a full mesh every daemon sends to every other, and all evaluate.
+evaluates the evidence, and so does the leader; the first one whose test raises an alarm broadcasts
+a stop, which requires neither a leader nor the store. In a full mesh every daemon sends to every
+other, and all evaluate.
 """
 
 from __future__ import annotations
@@ -203,7 +204,7 @@
         self._peers.send_each((*receivers, *self._leader_not_among(receivers)), message)
 
     def _leader_not_among(self, receivers: Iterable[Member]) -> list[Member]:
-        """Return the leader if it is not among the receivers: it needs the sums as well."""
+        """Return the leader, unless it is this daemon or a receiver: it needs the sums as well."""
         leader_id = self._state.leader_id
         informed = {member.member_id for member in receivers} | {self._state.settings.node_id}
         return [
@@ -227,10 +228,10 @@
             if now_s - received.stop_sent_at_s >= RESEND_INTERVAL_S:
                 self._broadcast_stop(record, received, cause, now_s)
             return
-        compares_times = record.share <= MAX_TIME_COMPARISON_SHARE
+        compare_latency = record.share <= MAX_TIME_COMPARISON_SHARE
         evidence = self.evidence(record.service)
         received.evaluated_at_s = now_s
-        alarm = received.test.evaluate(evidence, compare_latency=compares_times)
+        alarm = received.test.evaluate(evidence, compare_latency=compare_latency)
         if record.targets_version_in_force or record.phase is SoftwarePhase.STABLE:
             return
         if alarm is not None:
--- a/winchfork/router/metrics.py
+++ b/winchfork/router/metrics.py
@@ -66,7 +66,7 @@
 
 
 class LabelledMetric(Generic[_Child]):
-    """A metric with one child for each value of its label; without a label if it is empty."""
+    """A metric with one child for each value of its label; an empty ``label`` means none."""
 
     def __init__(
         self, child_type: type[_Child], name: str, description: str, label: str = ""
--- a/winchfork/router/notice_exchange.py
+++ b/winchfork/router/notice_exchange.py
@@ -27,8 +27,8 @@
 RESEND_INTERVAL_S = 2.0
 #: Number of times that any other notice is resent.
 RESEND_COUNT = 2
-#: Seconds by which each rank in a limit's order delays a resend, at most ``RESEND_INTERVAL_S``: the
-#: daemons of lower ranks resend first, and the others then need not.
+#: Seconds of delay of a resend for each rank of the daemon in the limit's order, in total at most
+#: ``RESEND_INTERVAL_S``: daemons of lower ranks resend first, and the others then need not.
 RANK_DELAY_S = 0.25
 #: Keeps a message of entries of some 30 bytes within one packet.
 MAX_ENTRIES_PER_MESSAGE = 40
--- a/winchfork/router/peer_messages.py
+++ b/winchfork/router/peer_messages.py
@@ -13,7 +13,7 @@
 
 
 class ReplicaLoadEntry(PeerMessage, frozen=True):
-    """The sender's own work on one replica, which is identified by the hash of its id.
+    """The sender's own work on one replica, whose incarnation ``replica_hash`` identifies.
 
     ``memory_tokens`` is the most cache memory that this work may take; ``busy_steps`` is the time
     until the last of it is expected to end, in steps of 50 ms.
@@ -154,7 +154,7 @@
 class Forward(PeerMessage, frozen=True):
     """A datagram that a hub handles and forwards to the daemons of its zone.
 
-    With ``whole_region`` it also forwards it to the hubs of the region's other zones.
+    With ``whole_region`` the hub also forwards it to all other hubs of its region.
     """
 
     datagram: bytes
@@ -170,7 +170,7 @@
 
 
 class DocumentPart(PeerMessage, frozen=True):
-    """The part of a packed update of the store's entries at ``offset``; ``total`` is in bytes."""
+    """One part of a packed update of the store's entries; ``offset`` and ``total`` are in bytes."""
 
     sender_id: str
     base_revision: int
@@ -240,7 +240,10 @@
 
 
 class SuspectRunReport(PeerMessage, frozen=True):
-    """The sender runs a request under which two replicas have crashed; at 0 ms its run is over."""
+    """The sender runs a request under which two or more replicas have crashed.
+
+    A ``remaining_ms`` of 0 means that the run is over.
+    """
 
     sender_id: str
     digest: bytes
--- a/winchfork/router/peer_wiring.py
+++ b/winchfork/router/peer_wiring.py
@@ -41,7 +41,7 @@
 
 
 class PeerExchanges(msgspec.Struct, frozen=True):
-    """The exchanges that the leader's duties use."""
+    """The exchanges that are used outside this module."""
 
     weights: WeightsExchange
     evidence: EvidenceExchange
--- a/winchfork/router/peers.py
+++ b/winchfork/router/peers.py
@@ -39,11 +39,11 @@
 #: Seconds between two ticks of a daemon, and of a hub.
 TICK_PERIOD_S = 0.2
 HUB_TICK_PERIOD_S = 0.05
-#: Seconds between two probes of a hub, and between those of a watcher by a hub, whose whole zone is
-#: no more current than the reply.
+#: Seconds between two probes for a proof of freshness: of a hub by other daemons, and of a watcher
+#: by a hub, on whose proof its whole zone depends.
 HUB_PROBE_PERIOD_S = 0.35
 WATCHER_PROBE_PERIOD_S = 0.2
-#: Daemons beyond the known members among which budgets are shared, for machines that return.
+#: Number added to the known members when budgets are divided, for machines that return.
 _SPARE_DAEMONS = 3
 #: Rejects datagrams of other systems; not a secret, since the network is trusted.
 _CLUSTER_KEY = b"winchfork-router-peers"
@@ -127,16 +127,16 @@
 
     async def run(self) -> None:
         """Tick until cancelled."""
-        next_probe_s = next_hub_probe_s = self._loop.time()
+        next_probe_s = next_proof_probe_s = self._loop.time()
         while True:
             await asyncio.sleep(self._tick_period_s)
             now_s = self._loop.time()
             if now_s >= next_probe_s:
                 next_probe_s = now_s + HEARTBEAT_PERIOD_S
                 self._send_all(self._membership.tick(now_s))
-            if now_s >= next_hub_probe_s:
-                next_hub_probe_s = now_s + self._informant_period_s
-                self._probe_informant(now_s)
+            if now_s >= next_proof_probe_s:
+                next_proof_probe_s = now_s + self._proof_probe_period_s
+                self._probe_proof_source(now_s)
             self._announce_store_delay()
             self._refresh_view()
             for listener in self.on_tick:
@@ -242,7 +242,7 @@
         )
 
     @property
-    def _informant_period_s(self) -> float:
+    def _proof_probe_period_s(self) -> float:
         return WATCHER_PROBE_PERIOD_S if self._view.is_hub else HUB_PROBE_PERIOD_S
 
     def _refresh_view(self) -> None:
@@ -263,7 +263,7 @@
         if delay_s is not None and not self._membership.own.store_delay_ms:
             self._membership.announce_store_delay(max(1, round(delay_s * 1000)))
 
-    def _probe_informant(self, now_s: float) -> None:
+    def _probe_proof_source(self, now_s: float) -> None:
         """Probe a random proof source for its store position and freshness.
 
         In a full mesh there is none; all members are probed while a store outage is suspected, to
@@ -274,8 +274,8 @@
             if self._state.store_outage.is_suspected:
                 self._send_all([self._membership.probe(peer, now_s) for peer in view.others])
         elif view.proof_sources:
-            informant = self._generator.choice(view.proof_sources)
-            self._send_all([self._membership.probe(informant, now_s)])
+            source = self._generator.choice(view.proof_sources)
+            self._send_all([self._membership.probe(source, now_s)])
 
     def _handle_membership(self, message: MembershipMessage) -> None:
         self._send_all(self._membership.receive(message, self._loop.time()))
--- a/winchfork/router/quota_exchange.py
+++ b/winchfork/router/quota_exchange.py
@@ -3,7 +3,7 @@
 In a full mesh every daemon counts the use that every other reports. Otherwise the hubs count the
 use of their zone and of other zones, and send their zone the levels of the token buckets. A daemon
 without recent reports from a hub, and a hub without reports from every zone, uses only a share of
-the limits: see :class:`.tenant_quota.RefillShare`.
+the limits: see :class:`winchfork.core.tenant_quota.RefillShare`.
 """
 
 from __future__ import annotations
@@ -144,7 +144,7 @@
             self._adopt_levels(levels, now_s)
 
     def handle_fleet(self, levels: QuotaLevels) -> None:
-        """Adopt the levels of this zone's active hub; another hub only replaces a guess by them."""
+        """Adopt the levels of this zone's active hub; on another hub, only in place of a guess."""
         now_s = self._state.clock()
         self._hub_received_at_s = now_s
         if self._peers.view.is_hub:
@@ -238,7 +238,7 @@
         return bool(times) and now_s - max(times) > MAX_REPORT_GAP_S
 
     def _has_recent_report(self, member_id: str, now_s: float) -> bool:
-        """Whether recent reports cover a daemon's use."""
+        """Whether recent reports cover a daemon's use; False for one that is no longer alive."""
         at_s, zone = self._seen[member_id]
         if at_s < now_s:
             return False
--- a/winchfork/router/region_exchange.py
+++ b/winchfork/router/region_exchange.py
@@ -63,7 +63,7 @@
     def send_region_work(
         self, region_loads: Callable[[], tuple[ReplicaLoadEntry, ...]], now_s: float
     ) -> None:
-        """Send this region's work to other regions, if this daemon is the active hub and it is due.
+        """Send this region's work to other regions, on the active region hub, if a message is due.
 
         ``region_loads`` sums the work of the region.
         """
@@ -94,7 +94,7 @@
     # Receiving
 
     def handle_region(self, message: RegionWork) -> None:
-        """Store another region's work; forward it within this region if it came from there."""
+        """Store another region's work; a region hub forwards it if it came from that region."""
         now_s = self._state.clock()
         view = self._peers.view
         if message.region == view.regions.region_of(view.own.zone):
--- a/winchfork/router/work_exchange.py
+++ b/winchfork/router/work_exchange.py
@@ -43,7 +43,7 @@
 RESEND_INTERVAL_S = 0.5
 #: Seconds between two complete messages of a hub; those in between have only what has changed.
 COMPLETE_PERIOD_S = 0.5
-#: Seconds after which received work is summed if nobody has read it, so that it expires.
+#: Seconds after which received work is summed again in any case, so that expired work is dropped.
 AGGREGATION_INTERVAL_S = 0.2
 #: Seconds without a message of a zone's active hub after which its other hub sends.
 HUB_SILENCE_S = 0.7
@@ -247,7 +247,7 @@
                     self._state.zone_reachability.record_message(member.zone, now_s)
 
     def handle_fleet(self, message: FleetWork) -> None:
-        """Store the work of all daemons; drop cached parts that the active hub has announced."""
+        """Store the work of all daemons; on a hub, drop the cached parts from its backlogs."""
         now_s = self._state.clock()
         self._hub_received_at_s = now_s
         self._fleet.update(message.loads, now_s, complete=message.complete)
--- a/winchfork/router/work_totals.py
+++ b/winchfork/router/work_totals.py
@@ -51,7 +51,7 @@
 
 
 def sum_loads(received: Iterable[ReceivedLoads]) -> dict[int, ReplicaWork]:
-    """Return the sum of work on each replica, by the hash of its id."""
+    """Return the sum of work on each replica, by the hash that identifies its incarnation."""
     totals: dict[int, ReplicaWork] = {}
     for item in received:
         for entry in item.loads:
@@ -74,7 +74,10 @@
 
 
 def is_same_work(entry: ReplicaLoadEntry, other: ReplicaLoadEntry) -> bool:
-    """Whether two entries have the same work; expected ends, which move on, are not compared."""
+    """Whether two entries have the same requests in flight and pending prefill on one replica.
+
+    Expected ends are not compared, since they move on by themselves.
+    """
     return (entry.replica_hash, entry.in_flight, entry.pending_prefill_tokens) == (
         other.replica_hash,
         other.in_flight,
