--- a/winchfork/router/document_installer.py
+++ b/winchfork/router/document_installer.py
@@ -53,7 +53,7 @@
         self._state = state
         self._reader = reader
         self._leadership = leadership
-        #: Whether a complete list was installed. Until then, entries predate this daemon's start.
+        #: Whether a complete list was installed. Earlier entries may predate this process.
         self.has_listed = False
         #: Whether the entries may come from a backup: true during the first list of a new era.
         self.is_restoring = False
--- a/winchfork/router/document_parts.py
+++ b/winchfork/router/document_parts.py
@@ -16,7 +16,7 @@
 from winchfork.errors import Failure, FailureKind
 from winchfork.router.peer_messages import DocumentPart, EraDocumentPart
 
-#: Bytes of compressed update in one datagram.
+#: Maximum number of bytes of a compressed update in one datagram.
 MAX_PART_BYTES = 8_192
 #: Limit of an update's decompressed size; larger ones are rejected.
 MAX_UNPACKED_BYTES = 32 * 1024 * 1024
@@ -26,7 +26,10 @@
 def split_update(
     sender_id: str, update: TableUpdate
 ) -> Sequence[DocumentPart] | Sequence[EraDocumentPart]:
-    """Return the datagrams that carry ``update``, in order."""
+    """Return the datagrams that carry ``update``, in order.
+
+    They name the era only if the update has one.
+    """
     packed = zlib.compress(msgspec.msgpack.encode(update.items), level=1)
     parts = [
         DocumentPart(
--- a/winchfork/router/document_relay.py
+++ b/winchfork/router/document_relay.py
@@ -36,9 +36,9 @@
 PULL_DELAY_S = 0.05
 #: Minimum time between two pulls.
 PULL_PERIOD_S = 0.3
-#: Maximum age of the freshness proof up to which a daemon relies on relayed updates, less than the
-#: age at which unknown API keys are no longer rejected for certain (1.9 s). The limit of hubs is
-#: lower, so that only hubs query the store when the watchers fail, not all daemons.
+#: Maximum age of the freshness proof for which a daemon relies on relayed updates. It is less than
+#: ``request_admission.MAX_CERTAIN_AGE_S``, up to which the rejection of an unknown key is final.
+#: The limit of hubs is lower, so that only hubs query the store when the watchers fail.
 MAX_RELAYED_AGE_S = 1.6
 MAX_RELAYED_HUB_AGE_S = 1.2
 
@@ -49,7 +49,7 @@
     table: DocumentTable
 
     def install_update(self, update: TableUpdate) -> bool:
-        """Install the newer entries; False if the update leaves a gap before its base."""
+        """Install the newer entries; False if changes before the update may be missing."""
         ...
 
 
@@ -93,8 +93,8 @@
     def may_lead(self) -> bool:
         """Whether this daemon may campaign for the leadership.
 
-        In a large fleet only hubs near the store do, as a leader calls the store often; so does a
-        daemon that no longer gets relayed updates.
+        In a large fleet only hubs near the store may, because a leader often calls the store and
+        replicas near it. Daemons whose relayed updates are not current may as well.
         """
         view = self._peers.view
         return (
@@ -105,6 +105,7 @@
         """Send an update from the store to other hubs and this zone's daemons, if this is a hub.
 
         Each watcher sends to one of the hubs of every other region, chosen by the watcher's index.
+        That hub forwards the update to its region.
         """
         view = self._peers.view
         own_id = view.own.member_id
--- a/winchfork/router/documents.py
+++ b/winchfork/router/documents.py
@@ -1,4 +1,4 @@
-"""Interfaces through which the router reads and writes the operators' documents in the store."""
+"""Interfaces that decode the store's documents and encode the status that operators read."""
 
 from __future__ import annotations
 
--- a/winchfork/router/leader_entry.py
+++ b/winchfork/router/leader_entry.py
@@ -30,7 +30,7 @@
         self.fences = FenceRegistry()
 
     def record_fence(self, position: StorePosition, value: bytes) -> None:
-        """Record the fence that was written at a position; ignore a value that is no number."""
+        """Record the fence written at a position; ignore a value that is no number or too long."""
         if value.isdigit() and len(value) <= _MAX_FENCE_DIGITS:
             self.fences.record_fence(position, int(value))
 
@@ -61,7 +61,8 @@
     async def find_replaceable(self) -> int | Failure | None:
         """Return the revision of the entry that a former leader may replace; 0 if there is none.
 
-        Returns None if another daemon has written the entry since the store was restored.
+        Returns None if the entry is another daemon's and not known to be restored from a backup,
+        and a Failure if the store cannot be read.
         """
         snapshot = await self._store.list(LEADER_KEY)
         if isinstance(snapshot, Failure):
--- a/winchfork/router/leadership.py
+++ b/winchfork/router/leadership.py
@@ -4,8 +4,8 @@
 rises with every change of leader; :mod:`winchfork.core.fence_registry` keeps it rising when the
 store is restored from a backup. A leader acts only within ``VALIDITY_S`` of the start of its last
 renewal, by its own monotonic clock; the lease is longer than that. A new leader gives no orders
-until those of its predecessor are at least ``lease_bound_s`` old. The time between the
-predecessor's last possible order and the expiry of its lease counts towards that.
+until those of its predecessor are at least ``lease_bound_s`` old, which the deployment sets. The
+time between the predecessor's last possible order and the expiry of its lease counts towards that.
 
 A restore of the store from a backup voids all earlier leases. The last leader reclaims the
 leadership by a conditional write over the entry that the backup contained, if any. Any other daemon
@@ -26,14 +26,14 @@
 from winchfork.router.peer_messages import Resignation
 from winchfork.stores.async_key_value import AsyncKeyValueStore, StoreLease
 
-#: Duration of the lease.
+#: Duration of the lease, unless the shortest that the store grants is longer.
 LEASE_S = 2.0
 #: How long after the start of a renewal the leader may act.
 VALIDITY_S = 0.9
 RENEW_PERIOD_S = 0.4
-#: Jitter before a campaign, so that not every daemon writes when a leader is lost.
+#: Maximum jitter before a campaign, so that not every daemon writes when a leader is lost.
 MAX_CAMPAIGN_DELAY_S = 0.5
-#: The same for daemons that were already restarted in a rolling restart.
+#: The same for daemons that were already restarted in a rolling restart; the others wait longer.
 MAX_PRIORITY_DELAY_S = 0.05
 #: Maximum jitter between two attempts to reclaim the leadership.
 MAX_RECLAIM_PAUSE_S = 0.2
@@ -175,17 +175,17 @@
         return may_act
 
     def leads(self) -> bool:
-        """Return whether this daemon may write the leader's entries in the store. Does no I/O.
+        """Return whether this daemon may write what only the leader writes. Does no I/O.
 
-        Such writes are conditional on the leader's entry, so a new leader need not wait until the
-        orders of its predecessor have expired.
+        Such writes to the store are conditional on the revision of the leader's entry, so a new
+        leader need not wait until the orders of its predecessor are old enough.
         """
         is_current = self._lease.era == self.newest_era()
         return self.fence != 0 and is_current and self._clock() < self._valid_until_s
 
     @property
     def entry_revision(self) -> int:
-        """The revision of the leader's entry, the condition of writes that only it may make."""
+        """The revision of the leader's entry, a condition of writes that only a leader makes."""
         return self._holder_position.revision
 
     async def run(self) -> None:
@@ -223,7 +223,8 @@
         # Before its own first order, a leader reports the last possible order of its predecessor.
         predecessor_order_s = self._acts_from_s - self._lease_bound_s - HANDOVER_MARGIN_S
         last_s = max(self._last_order_s, predecessor_order_s)
-        # A successor that misses the resignation assumes that the lease expired by itself.
+        # A successor that misses the resignation assumes that the lease expired by itself, and that
+        # the last order is at least this old.
         min_order_age_s = self._lease_s - VALIDITY_S
         await asyncio.sleep(max(0.0, min_order_age_s - (self._clock() - last_s)))
         now_s = self._clock()
@@ -260,7 +261,7 @@
         ``wait_s`` returns how long the new leader has to wait before it acts.
         """
         started_s = self._clock()
-        # Must come before the calls: entries received meanwhile, even the own one, change it.
+        # Must precede the calls: entries received meanwhile, even the own one, change the wait.
         acts_in_s = wait_s()
         lease = await self._store.grant_lease(self._lease_s)
         if isinstance(lease, Failure):
@@ -269,10 +270,11 @@
         if isinstance(written, Failure):
             return False
         if written < self._newest_position or written.era != lease.era:
-            # A newer position arrived before the answer: the entry was removed or replaced.
+            # Before the answer arrived, a newer position was received or a new era began.
             log_event(
                 "leadership_not_taken",
-                reason="the entry was removed or replaced before its write was acknowledged",
+                reason="the entry was removed or replaced, or the store restored, before its write"
+                " was acknowledged",
             )
             return False
         self._set_newest_position(written, vacant=False)
--- a/winchfork/router/process.py
+++ b/winchfork/router/process.py
@@ -1,9 +1,9 @@
 """The router process: wires the components, listens, runs the background tasks and shuts down.
 
-On a graceful shutdown the process is not ready from the start, so that the load balancer in front
-stops sending requests. It still accepts requests for ``LOAD_BALANCER_DRAIN_S``, and closes each
-connection after its answer. Then it accepts no connections or requests, and ends when no request is
-active or the grace period is over.
+A graceful shutdown first makes the process not ready, so that the load balancer in front stops
+sending requests. The process still accepts requests for ``LOAD_BALANCER_DRAIN_S``, but at most half
+of the grace period, and closes each caller's connection after its answer. Then it accepts no
+connections or requests, and ends when no request is active or the grace period is over.
 """
 
 from __future__ import annotations
@@ -199,16 +199,16 @@
         add("replicas", "Listed replicas.", lambda: len(state.fleet))
         add("parts_believed", "Prompt parts assumed to be cached.", lambda: len(state.parts))
         add("daemons", "Daemons that share the budgets.", lambda: state.daemon_count)
-        ledger = state.crashes.history
+        history = state.crashes.history
         add(
             "requests_suspected",
             "Requests during which a replica crashed.",
-            lambda: ledger.suspected_count,
+            lambda: history.suspected_count,
         )
         add(
             "requests_barred",
             "Requests refused because they crash replicas.",
-            lambda: ledger.refused_count,
+            lambda: history.refused_count,
         )
         add(
             "store_revision",
@@ -228,7 +228,7 @@
         )
         add(
             "quota_coverage",
-            "Share of the quotas whose use is known from daemons' reports.",
+            "Share of the fleet whose quota use is known; 0 if a hub's report is overdue.",
             lambda: state.quotas.refill_share.coverage,
         )
         state.metrics.software_shares = state.software.shares
--- a/winchfork/router/refusal_records.py
+++ b/winchfork/router/refusal_records.py
@@ -1,4 +1,4 @@
-"""Stores refused requests in the store, so that refusals survive a restart of every daemon.
+"""Records of refused requests in the store, so that refusals survive a restart of every daemon.
 
 A request's digest selects one of ``BUCKETS`` entries, which bounds the space used in the store; a
 later request of the same bucket replaces the earlier one. Records have no lease. Their age is
--- a/winchfork/router/restored_entries.py
+++ b/winchfork/router/restored_entries.py
@@ -49,7 +49,7 @@
         return True
 
     def forget(self, replica_id: str) -> None:
-        """Drop a held-back entry, because it was written again or removed."""
+        """Drop the held-back entry of a replica, if there is one."""
         self._held_back.pop(replica_id, None)
 
     def pop_due(self, now_s: float) -> list[tuple[ReplicaListing, int]]:
--- a/winchfork/router/software_rollout.py
+++ b/winchfork/router/software_rollout.py
@@ -101,7 +101,7 @@
                 self._record_order_seen(order, now_s)
 
     def _record_order_seen(self, order: SoftwareOrder, now_s: float) -> None:
-        """Record when an order was first seen, also if its number has changed since."""
+        """Record when an order was first seen; the time stays if the order's number changes."""
         seen = self._orders_seen.get(order.service)
         if seen is not None:
             number = self._versions.current_order_number(order.service, seen.revision)
@@ -109,7 +109,7 @@
         _record_first_seen(self._orders_seen, order.service, order.revision, now_s)
 
     def _observe_coverage(self, now_s: float) -> None:
-        """Track whether reports of every daemon arrive; a silent one is dropped after a while."""
+        """Track gaps in the daemons' reports, and when a silent daemon may have been dropped."""
         if self._state.quotas.refill_share.coverage >= FULL_COVERAGE:
             self._coverage_gap_since_s = None
             return
@@ -122,7 +122,7 @@
     def _is_fleet_covered(self, service: str) -> bool:
         """Whether the reports of all daemons arrived without a gap since a service's order.
 
-        A daemon that was dropped from the coverage since then may have unreported requests.
+        A daemon that was dropped from the coverage since then may still run unreported requests.
         """
         order = self._orders_seen.get(service)
         was_covered = order is not None and self._coverage_lost_s < order.since_s
@@ -177,9 +177,8 @@
     def _remaining_s(self, record: SoftwareState, elapsed_s: float) -> float:
         """Return the time until an order's time limit.
 
-        This uses the age of the order if it is greater than ``elapsed_s``. Each record is dated
-        from when it was first seen, shortly after its write, so the times that records carry on
-        fall short.
+        Uses the order's age if it is greater than ``elapsed_s``, which falls short: it adds up the
+        ages of successive records, each from when it was first seen, shortly after its write.
         """
         seen = self._orders_seen.get(record.service)
         if seen is not None and seen.revision == record.order_revision:
--- a/winchfork/router/software_versions.py
+++ b/winchfork/router/software_versions.py
@@ -78,7 +78,7 @@
     # Records and orders
 
     def install(self, state: SoftwareState, revision: int, *, found_at_start: bool = False) -> None:
-        """Install a record from the store, unless its revision is not newer than the known one.
+        """Install a record from the store if its revision is newer than the known one.
 
         ``found_at_start``: the record existed when this daemon started, so its age is unknown.
         """
@@ -159,7 +159,7 @@
         return self._order_registry.current_number(service, number)
 
     def _renumber_order(self, service: str, former: int, number: int) -> None:
-        """Use the number that an order got when the store was restored from a backup."""
+        """Replace the number of an order, after the store was restored from a backup."""
         state = self._records.get(service)
         if state is not None and state.order_revision == former:
             self._records[service] = self._with_current_number(state)
--- a/winchfork/router/state.py
+++ b/winchfork/router/state.py
@@ -175,9 +175,9 @@
         )
 
     def choose_service(self, route: Route) -> str:
-        """Return a service by the route's shares, or another of its services if it has no replica.
+        """Return a service of the route, chosen by the route's shares.
 
-        Returns the chosen one if no service of the route has a replica.
+        If it has no replica, returns another one that has a share and a replica, if there is one.
         """
         chosen = self.splits.choose(route)
         if self.fleet.of_service(chosen):
@@ -240,7 +240,7 @@
     def mark_superseded(self, replica: RelayReplica, by: str = "") -> None:
         """Record that another incarnation answers at a replica's address.
 
-        ``by`` is the id that it gave of itself, or empty.
+        ``by`` is the id that this incarnation reported, or empty.
         """
         self.fleet.record_other_answered(replica, by)
         self.crashes.record_crash(replica, CrashEvidence.REPLACED)
--- a/winchfork/router/store_sync.py
+++ b/winchfork/router/store_sync.py
@@ -44,7 +44,7 @@
 #: The longest backoff of a daemon that is no watcher.
 MAX_FOLLOWER_BACK_OFF_S = 1.5
 #: How long after the start of its process a daemon may use weights older than those that it finds
-#: named. Counted from the process start, since the start alone may take seconds.
+#: named. Not counted from the first list, since the start alone may take seconds.
 START_GRACE_S = 3.0
 #: Part of the store's stabilization time that is not relied on.
 STABILIZATION_MARGIN_S = 0.5
@@ -141,8 +141,8 @@
     ) -> None:
         """Install a complete list, and the removal of the entries that it lacks.
 
-        The first list of an era counts as one after an outage: an entry that it lacks may exist,
-        but not have been written again yet.
+        The first list of an era counts as one after an outage: an entry may be missing only because
+        it has not been written again yet.
         """
         if at.era > self._state.store_position.era:
             self._begin_era(at)
@@ -253,7 +253,7 @@
         return max(0.0, min(left_s, FLEET_WATCH_WAIT_S if self._relays_to_others else WATCH_WAIT_S))
 
     def install_update(self, update: TableUpdate) -> bool:
-        """Install a relayed update; False if it leaves a gap after the known position."""
+        """Install a relayed update; False if changes before it may be missing."""
         age_s = self._state.freshness.age_s(self._state.clock())
         # A watcher that gets an update from a peer has missed it in its own watch.
         in_time = age_s <= WATCH_WAIT_S + LATE_ANSWER_S and not self._is_watcher
@@ -317,7 +317,7 @@
     def _restart_weights_bounds(self) -> None:
         """Restart the weights bounds that were running when a fleet-wide store outage began.
 
-        An outage for this daemon alone has no effect on the bounds.
+        An outage of this daemon alone has no effect on the bounds.
         """
         outage = self._state.store_outage.pop_ended()
         if outage is None:
--- a/winchfork/router/weights_rollout.py
+++ b/winchfork/router/weights_rollout.py
@@ -200,7 +200,10 @@
     async def _order(
         self, replica: RelayReplica, model: str, version: int, report: ReplicaReport
     ) -> bool:
-        """Give the order; True if the replica has accepted it or already has the version."""
+        """Give the order; True if the replica has accepted it or already has the version.
+
+        If an order that may have been sent got no answer, the replica's next report decides.
+        """
         order = WeightsOrder(
             replica.replica_id,
             model,
