--- a/tests/entry_fuzz.py
+++ b/tests/entry_fuzz.py
@@ -1,4 +1,4 @@
-"""Fuzzes the store with random invalid entries among valid ones.
+"""Fuzzes a daemon with random invalid store entries among valid ones.
 
     python -m tests.entry_fuzz --seconds 60 [--seed S]
 
--- a/tests/test_restored_entries.py
+++ b/tests/test_restored_entries.py
@@ -194,7 +194,7 @@
         self._play(scenario)
 
     def test_a_daemon_that_started_after_the_restore_numbers_orders_like_the_others(self) -> None:
-        """Guards against daemons that take the record of such a leader for an earlier order's."""
+        """Guards against daemons that take a new leader's record for that of an earlier order."""
 
         async def scenario(fleet: StoreRestoreFleet) -> None:
             backup = fleet.store.backup()
--- a/tests/test_software_rollout.py
+++ b/tests/test_software_rollout.py
@@ -171,7 +171,7 @@
 
 
 class MarginsTest(unittest.TestCase):
-    """Repeats the closest outcomes with other random seeds."""
+    """Repeats the scenarios that come closest to a wrong outcome, with other random seeds."""
 
     def play(self, behaviour: Behaviour, outcome: str) -> list[float]:
         """Run four rollouts, check the outcome, and return what each left of the budget."""
--- a/tests/test_store_sync.py
+++ b/tests/test_store_sync.py
@@ -187,7 +187,6 @@
         follow(scenario)
 
     def test_a_replica_is_removed_when_its_entry_is_still_missing_after_the_grace(self) -> None:
-
         async def scenario(followed: Followed) -> None:
             await followed.lose_in_an_outage("i-1")
             await asyncio.sleep(RELISTING_GRACE_S - 0.1)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -104,7 +104,7 @@
 
 
 class StateAgeTest(unittest.TestCase):
-    """Checks for each kind of state that the first decision after a suspension knows its age."""
+    """Checks for each kind of state that its age is right at the first use after a suspension."""
 
     def test_a_leader_gives_no_order_after_its_lease_may_have_expired(self) -> None:
         async def scenario(seconds: float) -> None:
@@ -196,8 +196,8 @@
     def test_a_refusal_expires_during_a_suspension(self) -> None:
         async def scenario(seconds: float) -> None:
             relay = RelayUnderTest()
-            ledger = relay.state.crashes.history
-            ledger.refuse(b"d", 1, relay.state.clock() + 4.0)
+            history = relay.state.crashes.history
+            history.refuse(b"d", 1, relay.state.clock() + 4.0)
             stall_loop(seconds)
             refused = relay.state.crashes.refusal(b"d") is not None
             self.assertEqual(refused, seconds < 4.0)
--- a/tests/test_weights_bounds.py
+++ b/tests/test_weights_bounds.py
@@ -207,7 +207,7 @@
         follow(scenario)
 
 
-class KeptAwayTogetherTest(unittest.TestCase):
+class SeparateFailuresTest(unittest.TestCase):
     """No daemon reaches the store for a while, each for its own reason, but the store is up.
 
     Guards against an outage that is assumed because a single peer confirms it. More than half of
@@ -237,61 +237,61 @@
 
 
 class StoreOutageDetectorTest(unittest.TestCase):
-    """The findings of one daemon whose last proof is of 100 s."""
+    """The findings of one daemon whose last proof dates from 100 s."""
 
     def setUp(self) -> None:
-        self.watch = StoreOutageDetector(90.0, has_peers=True)
-        self.watch.record_answer(100.0)
+        self.detector = StoreOutageDetector(90.0, has_peers=True)
+        self.detector.record_answer(100.0)
 
     def fail_twice(self, first_s: float) -> None:
-        self.watch.record_failure(first_s - 1.0, first_s)
-        self.watch.record_failure(first_s + 0.1, first_s + 0.2)
+        self.detector.record_failure(first_s - 1.0, first_s)
+        self.detector.record_failure(first_s + 0.1, first_s + 0.2)
 
     def test_three_findings_together_show_an_outage(self) -> None:
         self.fail_twice(101.0)
-        self.watch.record_peer_reply("n2", 99.5, asked_s=102.6, replied_s=102.6)
-        self.watch.record_answer(104.0)
-        self.assertEqual(self.watch.pop_ended(), StoreOutage(100.0, 104.0))
-        self.assertIsNone(self.watch.pop_ended())
+        self.detector.record_peer_reply("n2", 99.5, asked_s=102.6, replied_s=102.6)
+        self.detector.record_answer(104.0)
+        self.assertEqual(self.detector.pop_ended(), StoreOutage(100.0, 104.0))
+        self.assertIsNone(self.detector.pop_ended())
 
     def test_a_failed_call_that_spans_a_stall_does_not_count(self) -> None:
-        self.watch.record_failure(100.0, 104.0)
-        self.watch.record_peer_reply("n2", 99.5, asked_s=104.0, replied_s=104.0)
-        self.watch.record_answer(104.1)
-        self.assertIsNone(self.watch.pop_ended())
+        self.detector.record_failure(100.0, 104.0)
+        self.detector.record_peer_reply("n2", 99.5, asked_s=104.0, replied_s=104.0)
+        self.detector.record_answer(104.1)
+        self.assertIsNone(self.detector.pop_ended())
 
     def test_a_peer_that_reached_the_store_meanwhile_rules_an_outage_out(self) -> None:
         self.fail_twice(101.0)
-        self.watch.record_peer_reply("n2", 102.0, asked_s=102.6, replied_s=102.6)
-        self.watch.record_answer(104.0)
-        self.assertIsNone(self.watch.pop_ended())
+        self.detector.record_peer_reply("n2", 102.0, asked_s=102.6, replied_s=102.6)
+        self.detector.record_answer(104.0)
+        self.assertIsNone(self.detector.pop_ended())
 
     def test_a_peer_whose_watch_may_still_be_waiting_does_not_count(self) -> None:
         self.fail_twice(101.0)
-        self.watch.record_peer_reply("n2", 99.5, asked_s=102.0, replied_s=102.0)
-        self.watch.record_answer(104.0)
-        self.assertIsNone(self.watch.pop_ended())
+        self.detector.record_peer_reply("n2", 99.5, asked_s=102.0, replied_s=102.0)
+        self.detector.record_answer(104.0)
+        self.assertIsNone(self.detector.pop_ended())
 
     def test_enough_peers_have_to_agree_and_late_replies_do_not_count(self) -> None:
         for agreeing, reply_s, is_outage in ((1, 0.0, False), (2, 0.0, True), (2, 0.6, False)):
-            watch = StoreOutageDetector(90.0, has_peers=True)
-            watch.peers_needed = 2
-            watch.record_answer(100.0)
-            watch.record_failure(100.0, 101.0)
-            watch.record_failure(101.1, 101.2)
+            detector = StoreOutageDetector(90.0, has_peers=True)
+            detector.peers_needed = 2
+            detector.record_answer(100.0)
+            detector.record_failure(100.0, 101.0)
+            detector.record_failure(101.1, 101.2)
             for asked_s in (102.6, 103.0):
                 for peer in range(agreeing):
                     replied_s = asked_s + (reply_s if peer else 0.0)
-                    watch.record_peer_reply(f"n{peer}", 99.5, asked_s, replied_s)
-            watch.record_answer(104.0)
-            self.assertIs(watch.pop_ended() is not None, is_outage, (agreeing, reply_s))
+                    detector.record_peer_reply(f"n{peer}", 99.5, asked_s, replied_s)
+            detector.record_answer(104.0)
+            self.assertIs(detector.pop_ended() is not None, is_outage, (agreeing, reply_s))
 
     def test_the_outage_ends_with_the_first_proof_of_a_peer(self) -> None:
         self.fail_twice(101.0)
-        self.watch.record_peer_reply("n2", 99.5, asked_s=102.6, replied_s=102.6)
-        self.watch.record_peer_reply("n2", 103.5, asked_s=103.6, replied_s=103.6)
-        self.watch.record_answer(104.0)
-        self.assertEqual(self.watch.pop_ended(), StoreOutage(100.0, 103.5))
+        self.detector.record_peer_reply("n2", 99.5, asked_s=102.6, replied_s=102.6)
+        self.detector.record_peer_reply("n2", 103.5, asked_s=103.6, replied_s=103.6)
+        self.detector.record_answer(104.0)
+        self.assertEqual(self.detector.pop_ended(), StoreOutage(100.0, 103.5))
 
     def test_a_daemon_without_peers_takes_a_short_failure_for_no_outage(self) -> None:
         for answered_s, is_outage in ((102.4, False), (102.6, True)):
@@ -303,29 +303,29 @@
             self.assertIs(alone.pop_ended() is not None, is_outage)
 
     def test_a_second_failed_call_that_spans_a_stall_does_not_count(self) -> None:
-        self.watch.record_failure(100.0, 101.0)
-        self.watch.record_failure(101.1, 104.0)
-        self.watch.record_peer_reply("n2", 99.5, asked_s=104.0, replied_s=104.0)
-        self.watch.record_answer(104.1)
-        self.assertIsNone(self.watch.pop_ended())
+        self.detector.record_failure(100.0, 101.0)
+        self.detector.record_failure(101.1, 104.0)
+        self.detector.record_peer_reply("n2", 99.5, asked_s=104.0, replied_s=104.0)
+        self.detector.record_answer(104.1)
+        self.assertIsNone(self.detector.pop_ended())
 
     def test_a_failure_before_a_peers_proof_is_forgotten(self) -> None:
-        self.watch.record_failure(99.0, 101.0)
-        self.watch.record_peer_reply("n2", 101.5, asked_s=101.6, replied_s=101.6)
-        self.assertFalse(self.watch.is_suspected)
-        self.watch.record_failure(158.0, 160.6)
-        self.watch.record_peer_reply("n2", 101.0, asked_s=161.0, replied_s=161.0)
-        self.watch.record_answer(163.0)
-        self.assertIsNone(self.watch.pop_ended())
+        self.detector.record_failure(99.0, 101.0)
+        self.detector.record_peer_reply("n2", 101.5, asked_s=101.6, replied_s=101.6)
+        self.assertFalse(self.detector.is_suspected)
+        self.detector.record_failure(158.0, 160.6)
+        self.detector.record_peer_reply("n2", 101.0, asked_s=161.0, replied_s=161.0)
+        self.detector.record_answer(163.0)
+        self.assertIsNone(self.detector.pop_ended())
 
     def test_a_daemon_that_starts_during_an_outage_gets_its_start_from_peers(self) -> None:
-        watch = StoreOutageDetector(102.0, has_peers=True)
-        watch.record_peer_reply("n2", 99.5, asked_s=102.1, replied_s=102.1)
-        watch.record_failure(102.0, 102.1)
-        watch.record_failure(102.3, 102.4)
-        watch.record_peer_reply("n2", 99.5, asked_s=102.5, replied_s=102.5)
-        watch.record_answer(103.0)
-        self.assertEqual(watch.pop_ended(), StoreOutage(99.5, 103.0))
+        detector = StoreOutageDetector(102.0, has_peers=True)
+        detector.record_peer_reply("n2", 99.5, asked_s=102.1, replied_s=102.1)
+        detector.record_failure(102.0, 102.1)
+        detector.record_failure(102.3, 102.4)
+        detector.record_peer_reply("n2", 99.5, asked_s=102.5, replied_s=102.5)
+        detector.record_answer(103.0)
+        self.assertEqual(detector.pop_ended(), StoreOutage(99.5, 103.0))
 
 
 class NamedDuringDisconnectionTest(unittest.TestCase):
