--- a/standins/answer_faults.py
+++ b/standins/answer_faults.py
@@ -10,8 +10,8 @@
 class ReplicaFault(enum.Enum):
     """The kinds of faulty software.
 
-    FAILS and SLOW affect a share of the answers at once; FAILS_LATE behaves like FAILS after a
-    delay.
+    FAILS and SLOW affect a share of the answers from the start; FAILS_LATE behaves like FAILS
+    after a delay.
     """
 
     NONE = "none"
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -155,13 +155,13 @@
             await replica.start()
 
     def add_api_key(self, key: str) -> None:
-        """Publish a newer configuration in which the first tenant has another API key."""
+        """Publish a newer configuration in which the first tenant has an additional API key."""
         self._configuration["Version"] += 1
         self._configuration["Tenants"][0]["ApiKeys"].append(key)
         self.store.put("op/config", self._configuration)
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop the replicas of the current software versions and the store."""
         for replica in (*self.model_rollouts.replicas, *self.application_rollouts.replicas):
             await replica.stop()
         await self.store.stop()
@@ -229,7 +229,7 @@
             router.state.retry_budget = SlidingRetryBudget(RETRY_ALLOWANCE, started_s)
 
     def crash_leader(self) -> RouterSettings | None:
-        """Cancel the leader's tasks as a crash does; return its settings, None without a leader."""
+        """Simulate a crash of the leader by cancelling its tasks; return its settings, if any."""
         for router, settings in zip(self.routers, self.settings, strict=True):
             if router.state.leader_id == settings.node_id:
                 for task in router._tasks:
--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -16,7 +16,7 @@
     """What the proxy does to the traffic.
 
     DELAY delays each read, STALL holds bytes in both directions, STALL_ANSWERS only those from the
-    target. REFUSE resets new connections; ANSWER_503 answers in place of the target.
+    target. REFUSE resets new connections; ANSWER_503 drops what the client sends and answers 503.
     """
 
     NONE = "none"
@@ -81,7 +81,7 @@
             asyncio.create_task(self._forward(reader, target_writer, reply_writer=writer)),
             asyncio.create_task(self._forward(target_reader, writer)),
         ]
-        # Cancelled at the end of the event loop: the connections are still closed below.
+        # The end of the event loop cancels this task; the connections are still closed below.
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in tasks:
--- a/standins/http_server.py
+++ b/standins/http_server.py
@@ -9,7 +9,7 @@
 
 from winchfork.emulator.free_ports import free_port
 
-#: Retries for a free port that another process binds first.
+#: Attempts to bind, because another process may bind a free port first.
 _MAX_BIND_ATTEMPTS = 20
 _BIND_RETRY_DELAY_S = 0.05
 
@@ -55,7 +55,7 @@
         self.address = ""
 
     async def start(self) -> None:
-        """Listen on a free port, or again on the previous one; raise OSError if binding fails."""
+        """Listen on a free port, or again on the previous one; raise OSError if it can't bind."""
         for _ in range(_MAX_BIND_ATTEMPTS):
             port = int(self.address.rpartition(":")[2]) if self.address else free_port(self._ip)
             try:
--- a/standins/limit_checks.py
+++ b/standins/limit_checks.py
@@ -1,7 +1,7 @@
 """Check that a replica that announces a request limit receives no more requests than it allows.
 
-Requests count from ``LIMIT_PROPAGATION_S`` after the first announcement on, and only those of
-routers that have received the limit.
+Requests are counted from ``LIMIT_PROPAGATION_S`` after the first announcement, and only those of
+routers that received a limit at least ``LIMIT_APPLY_DELAY_S`` earlier.
 """
 
 from __future__ import annotations
--- a/standins/notice_checks.py
+++ b/standins/notice_checks.py
@@ -84,7 +84,7 @@
     senders: Mapping[str, Sender],
     excused: IsExcused = never_excused,
 ) -> list[str]:
-    """Return a line for each replica that received too many requests after such an answer."""
+    """Return a line for each replica and announcement after which too many requests arrived."""
     broken = []
     for replica_id, notices in replicas:
         late = sent_to_draining(notices, senders, excused)
--- a/standins/replica_server.py
+++ b/standins/replica_server.py
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass
 class FatalRun:
-    """One run of a fatal request; ``crashed_at_s`` is None if another run crashed the replica."""
+    """One run of a fatal request; ``crashed_at_s`` is None unless this run crashed the replica."""
 
     body: bytes
     request_id: str
@@ -66,7 +66,10 @@
 
 
 class ReplicaServer:
-    """Serves requests and writes its entry to the store; without ``model`` for an application."""
+    """Serves requests and writes its entry to the store.
+
+    With an empty ``model`` it is a replica of an application.
+    """
 
     def __init__(
         self,
@@ -140,7 +143,10 @@
         return StaleEntry(self._store, key, (self._store.get_text(key) or "").encode())
 
     async def restart(self, *, keeps_id: bool = False) -> None:
-        """Start a new incarnation after a crash, unless the replica was stopped or restarted."""
+        """Start a new incarnation after a crash, unless the replica was stopped or restarted.
+
+        The incarnation has a new id, unless ``keeps_id`` is set.
+        """
         if self._stopped or self._is_listening:
             return
         if not keeps_id:
--- a/standins/soak/disruptions.py
+++ b/standins/soak/disruptions.py
@@ -1,7 +1,7 @@
 """A log of disruptions, during which guarantees with a time bound are not checked.
 
-A disruption of the store or of a link suspends the bounds of all routers until the contact time
-after its end. A disruption of one router excuses only the requests sent by this router.
+A disruption of the store or of a link suspends the bounds of all routers while it lasts and for the
+contact time afterwards. A disruption of one router excuses only the requests sent by this router.
 """
 
 from __future__ import annotations
--- a/standins/soak/faults/replica_faults.py
+++ b/standins/soak/faults/replica_faults.py
@@ -58,7 +58,7 @@
         await self._lapse(entry, self._random.uniform(MIN_LATE_ENTRY_S, MAX_LATE_ENTRY_S))
 
     async def torn_streams(self) -> None:
-        """Truncate the next stream of each replica inside an event."""
+        """Truncate the next stream of most model replicas inside one of its first five events."""
         for replica in self._platform.model_rollouts.replicas:
             replica.truncate_at_event = self._random.randrange(0, 6)
 
--- a/standins/soak/faults/store_faults.py
+++ b/standins/soak/faults/store_faults.py
@@ -56,7 +56,7 @@
             await self._inject_link_fault(router, fault, ALL_ROUTERS)
 
     async def turned_away(self) -> None:
-        """Let the store reset or refuse the connections of one or two routers.
+        """Let the store reset the connections of one or two routers, or answer them with 503.
 
         It counts as a fault of these routers, not of a link: only they are excused.
         """
--- a/standins/soak/operators.py
+++ b/standins/soak/operators.py
@@ -20,7 +20,7 @@
 
 
 class Operators:
-    """Act until ``until_s``, concurrently with the faults; each rollout is checked at its end."""
+    """Acts until ``until_s``, concurrently with the faults, and checks each rollout at its end."""
 
     def __init__(
         self, platform: PlatformStandins, seed: str, until_s: float, log_line: Callable[[str], None]
--- a/standins/soak/routers.py
+++ b/standins/soak/routers.py
@@ -95,7 +95,7 @@
     async def end_process(self, number: signal.Signals) -> int:
         """Send a signal that ends the process; return its exit code.
 
-        A process that has already ended returns the code that it ended with.
+        If it has already ended, no signal is sent; the code then shows how it ended.
         """
         assert self._process is not None
         if self._process.returncode is None:
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -110,7 +110,7 @@
             self._fatal_callers.run(until_s),
             *(lane.run(self._generator(lane.name), until_s, self.faults) for lane in lanes),
         )
-        # A restart would reset what the routers know of the replica: no process fault follows.
+        # No process fault follows: a restarted router would have lost what it knew of the replica.
         await replicas.crash_with_late_entry(self._platform.model_rollouts)
         self._log_line("healed")
         await self._expect_newest_weights(operators)
--- a/standins/store_server.py
+++ b/standins/store_server.py
@@ -31,8 +31,9 @@
 
 
 class StoreServer:
-    """A linearizable store over HTTP; ``down`` refuses every call with 503, as the platform can.
+    """A linearizable store over HTTP.
 
+    While ``down`` is set, it refuses every call with 503, as the platform does when it is busy.
     ``era`` is sent in every answer and rises with each restore from a backup; 0: it is not sent.
     """
 
@@ -43,7 +44,7 @@
         self._items: dict[str, dict[str, Any]] = {}
         self._history: list[dict[str, Any]] = []
         self._leases: dict[int, tuple[float, float]] = {}
-        #: Ids are never reused: the holder of an expired lease must not renew another's.
+        #: Not reused until a restore: the holder of an expired lease must not renew another's.
         self._last_lease = 77_000
         self._http = HttpServer(self._handle)
 
