--- a/tests/test_fault_standins.py
+++ b/tests/test_fault_standins.py
@@ -171,8 +171,8 @@
         )
         self.assertLess(generation.arrived_at_s, generation.started_at_s)
 
-    async def test_a_replica_restarted_before_its_delay_ends_again(self) -> None:
-        """Guards against a fatal run that never ends and so blocks later loads of weights."""
+    async def test_a_replica_restarted_before_its_delay_crashes_again(self) -> None:
+        """Guards against a second fatal run that never ends and blocks later loads of weights."""
         self.replica.fatal_request = FatalRequest(
             b"fatal", crash_after_s=0.01, restart_after_s=60.0
         )
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -58,8 +58,8 @@
 
     def late(self, version: int, began_s: float, arrived_s: float | None = None) -> list[float]:
         """Return by how many seconds a generation is late, or an empty list."""
-        sent_s = began_s - 0.02 if arrived_s is None else arrived_s
-        generation = Generation("r", "i-1", version, sent_s, began_s)
+        arrival_s = began_s - 0.02 if arrived_s is None else arrived_s
+        generation = Generation("r", "i-1", version, arrival_s, began_s)
         found = late_generations([generation], PUBLISHED, {"r": Sender(SENDER)}, self.log, BOUND_S)
         return [round(item.late_s, 3) for item in found]
 
