--- a/spec/claim_spec.py
+++ b/spec/claim_spec.py
@@ -121,7 +121,7 @@
 
     def _give_up(self, state: State, attempt: int) -> State:
         given_up = _with_phase(state, attempt, Phase.GIVEN_UP)
-        # Only a first send proves by giving up that nothing ran: before a retry, A may have run.
+        # A first send that gives up proves that nothing ran. A retry does not: A may have run.
         if attempt == A or not self._rules.retry_needs_proof:
             return _report_not_run(given_up, attempt)
         return given_up
--- a/spec/quota_spec.py
+++ b/spec/quota_spec.py
@@ -3,7 +3,8 @@
 The sender uses units, is killed and restarted, and reports its total since its last start.
 Datagrams are lost, duplicated, and delayed over any number of restarts. The receiver counts the
 growth of the totals, separately for each start. Mirrors ``UsageTotals`` and ``UsageReceiver`` of
-``core/quota_ledger.py``, which remembers at least as many starts as are modelled here.
+``core/quota_ledger.py``, which remembers at least as many starts as are modelled here. Returned
+units and the share of an unknown sender's usage are not modelled.
 
 Checked: the receiver never counts more units than were used, and it has counted the highest total
 that it has received of each start.
--- a/spec/relay_spec.py
+++ b/spec/relay_spec.py
@@ -136,7 +136,10 @@
 
 
 def _read_answer(rules: RelayRules, now: dict[str, int]) -> State:
-    """Mirror ``PeerGroup._handle_proof`` and ``DocumentRelay.handle_position``."""
+    """Return the state after the follower has processed an answer.
+
+    Mirrors ``PeerGroup._handle_proof`` and ``DocumentRelay.handle_position``.
+    """
     cleared = {"answer_revision": NONE, "answer_age": NONE, "answer_asked": NONE}
     if rules.checks_revision and now["answer_revision"] > now["known_revision"]:
         pulled = _enqueue_update(now, now["known_revision"], now["hub_revision"])
--- a/spec/rollout_spec.py
+++ b/spec/rollout_spec.py
@@ -8,10 +8,12 @@
 waiting for idle replicas, capacity or reports.
 
 Checked: a version judged bad never returns to the trial, moved or completed phase, whoever writes
-and however late; and once the bound on rollbacks has passed, no daemon assigns requests to it.
+and however late; and once the bound on rollbacks has passed since the judgement, no daemon assigns
+requests to it.
 
-State: the record's revision and phase, whether the version was judged bad, the number of orders,
-whether it was found bad, what each leader knows, one write in flight, what the daemon knows.
+State: the record's revision and phase, whether it marks the version as bad, the number of orders,
+whether the version was found bad, whether the bound on rollbacks has passed, what each leader
+knows, one write in flight, what the daemon knows.
 """
 
 from __future__ import annotations
