--- a/winchfork/cli/day_figures.py
+++ b/winchfork/cli/day_figures.py
@@ -57,7 +57,7 @@
 
 
 class DayFigures(msgspec.Struct, frozen=True):
-    """Figures of one day; seconds count from the first event, at Unix time ``began_s``."""
+    """Figures of one day; seconds count from the first event, at Unix time ``started_at_s``."""
 
     started_at_s: float
     seconds: int
@@ -92,13 +92,13 @@
     ordered = sorted(events, key=lambda event: event.at_s)
     if not ordered:
         return None
-    began_s = ordered[0].at_s
+    started_at_s = ordered[0].at_s
     outcomes: dict[str, Counter[int]] = {group: Counter() for group in GROUPS}
     first_event_s: defaultdict[int, list[float]] = defaultdict(list)
     sent: defaultdict[str, Counter[int]] = defaultdict(Counter)
     marks: set[Mark] = set()
     for event in ordered:
-        second = int(event.at_s - began_s)
+        second = int(event.at_s - started_at_s)
         if event.name in ("request_done", "request_refused"):
             outcome = event.field("outcome") or event.field("code")
             outcomes[outcome_group(outcome)][second] += 1
@@ -109,23 +109,23 @@
         elif event.name in _MARKED:
             marks.add(Mark(second, event.name, event.field(_MARKED[event.name])))
     return DayFigures(
-        began_s,
-        int(ordered[-1].at_s - began_s) + 1,
+        started_at_s,
+        int(ordered[-1].at_s - started_at_s) + 1,
         outcomes,
         dict(first_event_s),
         dict(sent),
         tuple(sorted(marks)),
-        tuple(_store_unreachable_periods(ordered, began_s)),
+        tuple(_store_unreachable_periods(ordered, started_at_s)),
     )
 
 
 def _store_unreachable_periods(
-    events: Sequence[LoggedEvent], began_s: float
+    events: Sequence[LoggedEvent], started_at_s: float
 ) -> list[StoreUnreachablePeriod]:
     lost_s: dict[str, float] = {}
     found = []
     for event in events:
-        at_s = event.at_s - began_s
+        at_s = event.at_s - started_at_s
         if event.name == "store_lost":
             lost_s.setdefault(event.source, at_s)
         elif event.name == "store_regained" and event.source in lost_s:
--- a/winchfork/cli/emulator_commands.py
+++ b/winchfork/cli/emulator_commands.py
@@ -44,7 +44,9 @@
     )
     emulate.add_argument("--profile", choices=profiles, default="himal")
     emulate.add_argument(
-        "--settings-dir", metavar="DIR", help="write one settings file per zone into DIR"
+        "--settings-dir",
+        metavar="DIR",
+        help="write the configuration and one settings file per zone into DIR",
     )
     emulate.add_argument("--log-level", default="warning")
     emulate.set_defaults(run=_emulate)
@@ -132,7 +134,6 @@
     if arguments.settings_dir:
         _write_settings(DevFleet(emulated, _FIRST_PORT), Path(arguments.settings_dir))
         config = Path(arguments.settings_dir) / "configuration.json"
-
         message = configuration_to_message(deployment.configuration())
         config.write_text(json.dumps(configuration_message_to_document(message), indent=2))
         print(f"configuration: {config}")
--- a/winchfork/cli/experiment_commands.py
+++ b/winchfork/cli/experiment_commands.py
@@ -35,7 +35,8 @@
         "run",
         help="run one profile under one policy",
         description="Runs in virtual time; the same options give the same figures. The profile "
-        "`target` runs one region at its planned two-year size.",
+        "`target` runs one region at its planned size in two years, for at most 20 s; it ignores "
+        "--policy, --rate and --fault.",
     )
     run.add_argument("--profile", choices=[*sorted(DEPLOYMENTS), _TARGET], required=True)
     run.add_argument("--policy", choices=policy_names(), default=DEFAULT_POLICY)
@@ -46,8 +47,8 @@
     compare = actions.add_parser(
         "compare",
         help="compare policies over the same seeds",
-        description="Runs every policy with the same seeds and prints a table with 95 %% "
-        "confidence intervals.",
+        description="Runs every policy, or those named by --policy, with the same seeds and "
+        "prints a table with 95 %% confidence intervals.",
     )
     compare.add_argument("--profile", choices=sorted(DEPLOYMENTS), required=True)
     compare.add_argument("--policy", action="append", choices=policy_names(), help="repeatable")
--- a/winchfork/cli/log_explanation.py
+++ b/winchfork/cli/log_explanation.py
@@ -1,8 +1,8 @@
 """Explains one request from routers' log events: where it was sent and how it ended.
 
 The explanation holds the events logged under the request's id and, from the daemon that served it,
-the events around that time that concern the daemon as a whole or a replica that the request was
-sent to.
+the events around that time that may affect any of its requests or that concern a replica that the
+request was sent to.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 #: included. An ejection lasts at most 8 s; a replica's crash is detected within 4 s.
 BEFORE_S = 10.0
 AFTER_S = 4.0
-#: Events that concern a daemon as a whole.
+#: Events that may affect any request of a daemon.
 _DAEMON_EVENTS = frozenset(
     {
         "store_lost",
--- a/winchfork/emulator/capacity.py
+++ b/winchfork/emulator/capacity.py
@@ -65,7 +65,11 @@
 
 
 def measure_capacity(sizes: tuple[int, ...] = CAPACITY_SIZES) -> dict[str, Any]:
-    """Run every measurement; times are seconds of processor time on this machine."""
+    """Run every measurement.
+
+    Times are in seconds: of processor time on this machine for costs, of virtual time for the
+    delays between daemons.
+    """
     return {
         "sizes": list(sizes),
         "datagram_s": measure_datagram_cost(),
@@ -202,6 +206,7 @@
 
 
 def _run_until(region: HollowRegion, condition: Callable[[], bool]) -> float:
+    """Return the virtual seconds until ``condition`` holds, or infinity after 300 s."""
     started_s = region.now_s
     while not condition():
         region.run(0.25, load_changes_per_s=0.0)
@@ -323,9 +328,9 @@
     for start in range(0, len(events), 58):
         # One poll: the events of 0.2 s at 286 a second, merged into one update per owner.
         batch = events[start : start + 58]
-        folded = families.apply_events(batch)
+        changes = families.apply_events(batch)
         by_owner: dict[int, tuple[list[int], list[int]]] = {}
-        for key, stored in folded.items():
+        for key, stored in changes.items():
             cached, removed_keys = by_owner.setdefault(families.owner_key(key) % 8, ([], []))
             (cached if stored else removed_keys).append(key)
         for cached, removed_keys in by_owner.values():
--- a/winchfork/emulator/comparison.py
+++ b/winchfork/emulator/comparison.py
@@ -76,7 +76,10 @@
 
 
 def compare_with_baselines(summary: dict[str, dict[str, Estimate]], product: str) -> list[str]:
-    """Return a line per figure that compares ``product`` with the oracle and the best baseline."""
+    """Compare ``product`` with the oracle (hit rate) and the best baseline (other figures).
+
+    Return a line per comparison; none if ``summary`` has no ``product``.
+    """
     if product not in summary:
         return []
     own = summary[product]
--- a/winchfork/emulator/engine_server.py
+++ b/winchfork/emulator/engine_server.py
@@ -61,7 +61,11 @@
         return ended
 
     def detach(self, now_s: float | None) -> None:
-        """Stop writing; the handler returns and the connection closes."""
+        """Stop writing; the handler returns and the connection closes.
+
+        If ``now_s`` is given, the generation continues and is dropped ``_DETACHED_GRACE_S`` later
+        unless the stream is resumed.
+        """
         self._sink = None
         self.detached_at_s = now_s
         if self._ended is not None:
--- a/winchfork/emulator/load.py
+++ b/winchfork/emulator/load.py
@@ -1,9 +1,10 @@
 """The load tool: sends a profile's workload over HTTP and checks every answer.
 
 The expected answer follows from the prompt. An answer counts as whole (exactly the expected text),
-lost (neither an answer nor a refusal), crossed (another request's text), doubled (too many or
-repeated tokens), truncated (too few tokens) or broken (an error event). Refusals are counted by
-code.
+lost (neither complete nor ended by a refusal or an error event), crossed (another request's text),
+doubled (too many or repeated tokens), truncated (too few tokens) or broken (an error event).
+Refusals are counted by code. A command that is neither answered nor refused as not run counts as
+``command_`` and its last known outcome.
 """
 
 from __future__ import annotations
--- a/winchfork/emulator/sim_engine.py
+++ b/winchfork/emulator/sim_engine.py
@@ -14,7 +14,7 @@
 from winchfork.core.prefix import BlockKey
 from winchfork.emulator.engine_model import EngineModel, EngineSettings, Sequence
 
-#: Decode steps simulated as one event while nothing waits, by which a new arrival may be delayed.
+#: Decode steps simulated as one event while nothing waits; a new arrival waits until it ends.
 _DECODE_STRIDE = 3
 
 
@@ -67,7 +67,7 @@
         source: SimEngine | None = None,
         import_blocks: int = 0,
     ) -> StreamSignal | None:
-        """Start a generation; with a ``source``, copy the leading ``import_blocks`` from it first.
+        """Start a generation; with a ``source``, first copy the leading ``import_blocks`` from it.
 
         Return REFUSED if the engine accepts no requests or its identity is not ``expected``.
         """
--- a/winchfork/emulator/sim_fleet.py
+++ b/winchfork/emulator/sim_fleet.py
@@ -140,7 +140,7 @@
             if not self.reachable(reader.zone, engine.zone):
                 continue
             identity = engine.model.identity
-            self._update_report(reader, engine)
+            self._apply_report(reader, engine)
             if identity.incarnation != incarnation:
                 incarnation, position = identity.incarnation, 0
                 families = FamilyMap()
@@ -164,7 +164,7 @@
                 self._apply_events(reader, engine, families, received)
                 position = received[-1].sequence
 
-    def _update_report(self, daemon: SimDaemon, engine: SimEngine) -> None:
+    def _apply_report(self, daemon: SimDaemon, engine: SimEngine) -> None:
         replica = daemon.fleet.get(engine.replica_id)
         if replica is not None:
             replica.update_load(engine.model.load(), self.env.now)
@@ -244,12 +244,12 @@
             arrived_s + traffic_class.deadline_s,
             arrived_s,
         )
-        verdict = daemon.admission.offer(ticket, arrived_s)
+        outcome = daemon.admission.offer(ticket, arrived_s)
         daemon.retry_budget.record_request()
-        if isinstance(verdict, Failure):
-            self.metrics.refused[verdict.kind.value] += 1
+        if isinstance(outcome, Failure):
+            self.metrics.refused[outcome.kind.value] += 1
             return
-        if verdict is AdmissionOutcome.QUEUED:
+        if outcome is AdmissionOutcome.QUEUED:
             admission = daemon.admission_events[request_id] = self.env.event()
             yield admission
         admitted_s = self.env.now
--- a/winchfork/emulator/target.py
+++ b/winchfork/emulator/target.py
@@ -1,4 +1,4 @@
-"""Simulates placement in one region at its planned two-year size, in virtual time.
+"""Simulates placement in one region at its planned size in two years, in virtual time.
 
 A region has 140 daemons and 200 replicas, a third of the fleet; regions share nothing on the
 request path. Replicas run the engine model, daemons are those of the simulated fleet.
