--- a/benchmarks/crashing_requests.py
+++ b/benchmarks/crashing_requests.py
@@ -3,10 +3,11 @@
     python -m benchmarks.crashing_requests [--seeds N]
 
 Daemons with the router's :class:`CrashTracker` place requests on replicas. Some callers repeat
-fatal bodies, which crash every replica that runs them after 80 ms; the other callers retry once if
-their answer breaks off. Printed for 1, 5 and 50 fatal bodies a minute: the maximum number of
-replicas that one body crashed, and the shares of innocent (not fatal) requests that were lost, were
-refused, or were served after being held back as suspects.
+fatal bodies, which crash every replica 80 ms after it starts to run them; the other callers retry
+once if their answer breaks off. Printed for 1, 5 and 50 fatal bodies a minute: the maximum number
+of replicas that one body crashed, and the shares of innocent (not fatal) requests that were lost,
+were refused, or were served after they had been held back (as suspects, or as no replica accepted
+requests).
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 DAEMONS = 7
 REPLICAS = 9
-#: Seconds from a replica's crash to its restart, and of a datagram's delay.
+#: Seconds from a replica's crash to its restart, and from sending a datagram to its receipt.
 RESTART_S = 4.0
 DATAGRAM_DELAY_S = 0.005
 #: Innocent requests: arrivals a second, mean run in seconds, number of prompt families, and share
@@ -41,7 +42,7 @@
 FATAL_S = 0.08
 REPEAT_S = 1.0
 REPEATS = 20
-#: Seconds from a crash to its detection, and of a caller's delay before its retry.
+#: Seconds from a crash to its detection, and from a broken answer to the caller's retry.
 CRASH_DETECTION_S = 0.035
 RETRY_DELAY_S = 0.2
 POLL_INTERVAL_S = 0.03
@@ -116,7 +117,10 @@
         return RelayReplica(listing, {}, listing.incarnation)
 
     def simulate(self, seconds: float) -> None:
-        """Send requests for ``seconds`` of virtual time and run until they have ended."""
+        """Send requests for ``seconds`` of virtual time, and run until they end.
+
+        Requests that still run ``REPEATS * REPEAT_S`` after these seconds are not counted.
+        """
         self._send_innocent(seconds)
         for number in range(round(self._bodies_per_minute * seconds / 60.0)):
             request = Request(b"fatal%d" % number, True, self._random.randrange(FAMILIES))
--- a/benchmarks/limit_sharing.py
+++ b/benchmarks/limit_sharing.py
@@ -24,6 +24,7 @@
 SECONDS = 120.0
 WINDOW_S = 4.0
 ROUND_TRIP_S = 0.01
+#: Share of the limit that `grants` gives out.
 USED_SHARE = 0.95
 DAEMONS = (7, 15, 79, 420)
 LIMITS_PER_S = (1.0, 3.0, 8.0)
--- a/benchmarks/replica_limits.py
+++ b/benchmarks/replica_limits.py
@@ -11,7 +11,8 @@
 Printed for each scenario: the requests in the worst window of 4 s and the number allowed in it; the
 share of the limit used between seconds 8 and 18; the maximum requests in one second before and
 after the limit; and the callers' outcomes. Windows count requests from 3 s after the first answer
-with the limit on, of routers that received such an answer at least 0.5 s before.
+that announced the limit, and only those of routers that had received such an answer at least 0.5 s
+before.
 """
 
 from __future__ import annotations
--- a/benchmarks/replica_notices.py
+++ b/benchmarks/replica_notices.py
@@ -4,10 +4,10 @@
 
 Three or more routers serve 25 streams a second of 23 prompt families with four model replicas for
 20 s. From second 4 to 16 the busiest replicas send notices. Scenarios: `leave`, one announces in
-its answers that it drains, while the store lists it as ready; `rest`, `half` and `all`, one, two or
-four refuse every request and ask for a backoff of 3 s; `short`, four ask for 0.4 s; `once`, four
-ask for 3 s, but only until second 4.5. A refused caller retries once at another router, after the
-wait that the answer names, limited to a third of its remaining time.
+its answers that it drains, until the end, while the store lists it as ready; `rest`, `half` and
+`all`, one, two or four refuse every request and ask for a backoff of 3 s; `short`, four ask for
+0.4 s; `once`, four ask for 3 s, but only until second 4.5. A refused caller retries once at another
+router, after the wait that the answer names, limited to a third of its remaining time.
 
 Printed for each scenario: requests sent to a draining replica, requests refused, the maximum number
 of requests of one router that reached a replica during a backoff, and the callers' outcomes.
@@ -37,7 +37,8 @@
 class Scenario(msgspec.Struct, frozen=True):
     """How many replicas send a notice, and for how many seconds.
 
-    ``backoff_s`` is the backoff that they ask for in seconds; None if they announce draining.
+    ``backoff_s`` is the backoff that they ask for in seconds; None if they announce draining, which
+    they do until the end of the run.
     """
 
     replicas: int
--- a/benchmarks/store_copies.py
+++ b/benchmarks/store_copies.py
@@ -16,9 +16,9 @@
 
 After the store is back, new weights are published at 0.6 s, an API key is added at 1 s and a
 replica drains at 2 s. Printed for each scenario: the routers that accept the key and when the last
-one did; requests sent to the draining replica after more than 3 s; generations started on old
-weights after more than the bound on the weights' age; the longest time without a leader that may
-act since the store is back; and the callers' outcomes. A crashed router does not accept the key.
+one did; requests sent to the draining replica more than 3 s later; generations started on old
+weights when the bound on the weights' age had passed; the longest time without a leader that may
+act after the outage; and the callers' outcomes. A crashed router does not accept the key.
 """
 
 from __future__ import annotations
@@ -49,7 +49,11 @@
 
 
 class Scenario(msgspec.Struct, frozen=True):
-    """How often the store is restored, and what else happens around it."""
+    """How often the store is restored, and which changes precede and follow that.
+
+    ``rewrites``: replicas' entries and an API key are written after the backup. ``changes_leader``:
+    the leader crashes after the backup.
+    """
 
     restores: int = 1
     changes_before: int = CHANGES
--- a/benchmarks/what_binds.py
+++ b/benchmarks/what_binds.py
@@ -61,13 +61,13 @@
 
 def read_runs(folder: Path) -> list[MeasuredRun]:
     """Read every report of a folder, with its log if there is one."""
-    plays = []
+    runs = []
     for path in sorted(folder.glob("*.json")):
         day, _, seed = path.stem.rpartition("-")
         log = path.with_suffix(".log")
         lines = log.read_text(errors="replace").splitlines() if log.exists() else []
-        plays.append(MeasuredRun(day, seed, json.loads(path.read_text()), late_causes(lines)))
-    return plays
+        runs.append(MeasuredRun(day, seed, json.loads(path.read_text()), late_causes(lines)))
+    return runs
 
 
 def late_causes(lines: Iterable[str]) -> dict[str, int]:
@@ -105,11 +105,11 @@
     return statistics.fmean(values), _T95.get(len(values) - 1, 2.0) * spread
 
 
-def by_day(plays: Iterable[MeasuredRun]) -> dict[str, list[MeasuredRun]]:
+def by_day(runs: Iterable[MeasuredRun]) -> dict[str, list[MeasuredRun]]:
     """Return the runs of each day, by its name."""
     days: dict[str, list[MeasuredRun]] = collections.defaultdict(list)
-    for play in plays:
-        days[play.day].append(play)
+    for run in runs:
+        days[run.day].append(run)
     return days
 
 
@@ -117,14 +117,14 @@
     """Print the means of score, parts and prices of each day over its runs."""
     print("| day | runs | score (min) | served | parts | prices |")
     print("| --- | --- | --- | --- | --- | --- |")
-    for day, plays in days.items():
-        scores = [play.score for play in plays]
-        served = statistics.fmean(play.report["served"] for play in plays)
-        parts = _means([play.parts for play in plays], 0.0)
-        prices = _means([play.prices for play in plays], _MIN_PRICE)
-        total = statistics.fmean(sum(play.prices.values()) for play in plays)
+    for day, runs in days.items():
+        scores = [run.score for run in runs]
+        served = statistics.fmean(run.report["served"] for run in runs)
+        parts = _means([run.parts for run in runs], 0.0)
+        prices = _means([run.prices for run in runs], _MIN_PRICE)
+        total = statistics.fmean(sum(run.prices.values()) for run in runs)
         print(
-            f"| {day} | {len(plays)} | {statistics.fmean(scores):.3f} ({min(scores):.3f}) "
+            f"| {day} | {len(runs)} | {statistics.fmean(scores):.3f} ({min(scores):.3f}) "
             f"| {served:.3f} | {_listed(parts)} | {total:.3f}: {_listed(prices)} |"
         )
 
@@ -144,30 +144,28 @@
     """Print unserved and late requests per run by cause, and the runs that broke a rule."""
     print("\n| day | unserved per run, by cause | late per run, by cause | runs with breaks |")
     print("| --- | --- | --- | --- |")
-    for day, plays in days.items():
+    for day, runs in days.items():
         unserved: collections.Counter[str] = collections.Counter()
         late: collections.Counter[str] = collections.Counter()
-        for play in plays:
-            unserved.update({cause: count for cause, count, _ in play.report["unserved_by"]})
-            late.update(play.late)
-        broken = sum(1 for play in plays if play.report["breaks"])
-        print(f"| {day} | {_counts(unserved, plays)} | {_counts(late, plays)} | {broken} |")
+        for run in runs:
+            unserved.update({cause: count for cause, count, _ in run.report["unserved_by"]})
+            late.update(run.late)
+        broken = sum(1 for run in runs if run.report["breaks"])
+        print(f"| {day} | {_counts(unserved, runs)} | {_counts(late, runs)} | {broken} |")
 
 
-def _counts(counts: collections.Counter[str], plays: list[MeasuredRun]) -> str:
-    return ", ".join(f"{name} {count / len(plays):.1f}" for name, count in counts.most_common())
+def _counts(counts: collections.Counter[str], runs: list[MeasuredRun]) -> str:
+    return ", ".join(f"{name} {count / len(runs):.1f}" for name, count in counts.most_common())
 
 
 def print_change(days: Mapping[str, list[MeasuredRun]], base: Iterable[MeasuredRun]) -> None:
     """Print the mean change of the score of each day against base runs of the same seeds."""
-    before = {(play.day, play.seed): play.score for play in base}
+    before = {(run.day, run.seed): run.score for run in base}
     print("\n| day | pairs | change of the score |\n| --- | --- | --- |")
     all_changes: list[float] = []
-    for day, plays in days.items():
+    for day, runs in days.items():
         changes = [
-            play.score - before[play.day, play.seed]
-            for play in plays
-            if (play.day, play.seed) in before
+            run.score - before[run.day, run.seed] for run in runs if (run.day, run.seed) in before
         ]
         all_changes += changes
         if changes:
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments are deterministic, lose no request, and show prefix-aware placement to pay off."""
+"""Experiments are deterministic and lose no request; prefix-aware placement beats round-robin."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
             report = _run("expected-time", Fault(name, 15.0))
             self.assertEqual((name, report["unfinished"], report["lost"]), (name, 0, 0))
 
-    def test_prefix_aware_placement_beats_rotation(self) -> None:
-        prefix_aware, rotation = _run("expected-time"), _run("round-robin")
-        self.assertGreater(prefix_aware["hit_rate"], rotation["hit_rate"] + 0.1)
-        self.assertLess(prefix_aware["wasted_share"], rotation["wasted_share"] / 2)
+    def test_prefix_aware_placement_beats_round_robin(self) -> None:
+        prefix_aware, round_robin = _run("expected-time"), _run("round-robin")
+        self.assertGreater(prefix_aware["hit_rate"], round_robin["hit_rate"] + 0.1)
+        self.assertLess(prefix_aware["wasted_share"], round_robin["wasted_share"] / 2)
 
 
 if __name__ == "__main__":
