--- a/benchmarks/store_copies.py
+++ b/benchmarks/store_copies.py
@@ -41,6 +41,7 @@
 OUTAGE_S = 1.0
 #: Writes to an unused key that raise the store's revision, before its outage or after restoring.
 CHANGES = 150
+#: Seconds after which a request to the draining replica counts as late.
 DRAIN_S = 3.0
 #: Seconds within which all routers must become ready.
 START_S = 25.0
--- a/winchfork/cli/experiment_commands.py
+++ b/winchfork/cli/experiment_commands.py
@@ -48,7 +48,7 @@
         "compare",
         help="compare policies over the same seeds",
         description="Runs every policy, or those named by --policy, with the same seeds and "
-        "prints a table with 95 %% confidence intervals.",
+        "prints a table with 95 % confidence intervals.",
     )
     compare.add_argument("--profile", choices=sorted(DEPLOYMENTS), required=True)
     compare.add_argument("--policy", action="append", choices=policy_names(), help="repeatable")
--- a/winchfork/emulator/capacity.py
+++ b/winchfork/emulator/capacity.py
@@ -315,7 +315,7 @@
     started = time.process_time()
     for event in events:
         index.apply("replica-0", 1, event)
-    ours_s = (time.process_time() - started) / len(events)
+    index_s = (time.process_time() - started) / len(events)
     plain = _PlainIndex()
     started = time.process_time()
     for event in events:
@@ -343,10 +343,10 @@
     forward_s = (time.process_time() - started) / len(events)
     raw = cbor2.dumps([[e.sequence, e.kind.value, list(e.block_keys)] for e in events[:1000]])
     return {
-        "fold_s_per_event": ours_s,
+        "fold_s_per_event": index_s,
         "plain_fold_s_per_event": plain_s,
-        "ratio_to_plain": ours_s / plain_s,
-        "events_per_core_second": 1 / ours_s,
+        "ratio_to_plain": index_s / plain_s,
+        "events_per_core_second": 1 / index_s,
         "forward_s_per_event": forward_s,
         "forward_bytes_per_event": update_bytes / len(events),
         "raw_bytes_per_event": len(raw) / 1000,
--- a/winchfork/emulator/engine_model.py
+++ b/winchfork/emulator/engine_model.py
@@ -200,11 +200,11 @@
         """Store copied leading blocks of a chain, unpinned; return how many are cached now."""
         stored: list[BlockKey] = []
         evicted: list[BlockKey] = []
-        held = self.cache.match(keys)
-        pinned = keys[:held]
+        matched = self.cache.match(keys)
+        pinned = keys[:matched]
         for key in pinned:
             self.cache.acquire(key)
-        for position in range(held, len(keys)):
+        for position in range(matched, len(keys)):
             if keys[position] in self.cache:
                 self.cache.acquire(keys[position])
             else:
@@ -219,7 +219,9 @@
         if evicted:
             self._publish(EventKind.REMOVED, tuple(evicted), now_s)
         if stored:
-            self._publish(EventKind.STORED, tuple(stored), now_s, keys[held - 1] if held else 0)
+            self._publish(
+                EventKind.STORED, tuple(stored), now_s, keys[matched - 1] if matched else 0
+            )
         self.imported_blocks += len(stored)
         return len(pinned)
 
--- a/winchfork/emulator/engine_server.py
+++ b/winchfork/emulator/engine_server.py
@@ -262,8 +262,8 @@
     def _export(self, request: Request) -> Response:
         keys = tuple(int(key) for key in request.get_json()["block_keys"])
         with self._condition:
-            held = self._model.cache.match(keys)
-        return json_response({"held": held})
+            cached = self._model.cache.match(keys)
+        return json_response({"held": cached})
 
     def _refusal(self, expected: dict[str, int] | None) -> Response | None:
         if not self._accepting or self._role == "draining":
--- a/winchfork/emulator/sim_fleet.py
+++ b/winchfork/emulator/sim_fleet.py
@@ -217,8 +217,8 @@
             for daemon in self.daemons:
                 for replica in daemon.fleet.replicas():
                     at_s, load = measured[replica.replica_id]
-                    newer = replica.load_measured_at_s >= at_s
-                    if newer or not self.reachable(daemon.zone, replica.zone):
+                    has_newer = replica.load_measured_at_s >= at_s
+                    if has_newer or not self.reachable(daemon.zone, replica.zone):
                         continue
                     received = quantize(0, load, at_s).update(load)
                     replica.update_load(received, at_s)
