--- a/winchfork/emulator/platform_server.py
+++ b/winchfork/emulator/platform_server.py
@@ -35,7 +35,10 @@
 
 
 class PlatformServer:
-    """The platform's services on one address; ``calls`` counts the requests received."""
+    """The platform's services on one address.
+
+    ``calls`` counts the requests received, without those to paths below ``/platform/``.
+    """
 
     def __init__(self, address: str, *, machine_list_lag_s: float = 0.5) -> None:
         self.model = KeyValueModel()
--- a/winchfork/emulator/workload.py
+++ b/winchfork/emulator/workload.py
@@ -162,7 +162,7 @@
 class HimalWorkload:
     """Yearbook proofing: interactive suggestions, and book reviews that may wait.
 
-    The rate of suggestions rises by ``SURGE_FACTOR`` after the share ``SURGE_FROM`` of the run.
+    After the share ``SURGE_FROM`` of the run there are ``SURGE_FACTOR`` times as many suggestions.
     """
 
     SCHOOLS = 8
