--- a/winchfork/emulator/engine_server.py
+++ b/winchfork/emulator/engine_server.py
@@ -61,7 +61,11 @@
         return ended
 
     def detach(self, now_s: float | None) -> None:
-        """Stop writing; the handler returns and the connection closes."""
+        """Stop writing; the handler returns and the connection closes.
+
+        If ``now_s`` is given, the generation continues and is dropped ``_DETACHED_GRACE_S`` later
+        unless the stream is resumed.
+        """
         self._sink = None
         self.detached_at_s = now_s
         if self._ended is not None:
@@ -258,8 +262,8 @@
     def _export(self, request: Request) -> Response:
         keys = tuple(int(key) for key in request.get_json()["block_keys"])
         with self._condition:
-            held = self._model.cache.match(keys)
-        return json_response({"held": held})
+            cached = self._model.cache.match(keys)
+        return json_response({"held": cached})
 
     def _refusal(self, expected: dict[str, int] | None) -> Response | None:
         if not self._accepting or self._role == "draining":
