--- a/winchfork/platform/documents.py
+++ b/winchfork/platform/documents.py
@@ -153,7 +153,7 @@
 
 
 class PlatformDocumentCodec:
-    """Implements :class:`winchfork.router.documents.DocumentReader` and its ``StatusWriter``."""
+    """Implements ``DocumentReader`` and ``StatusWriter`` of :mod:`winchfork.router.documents`."""
 
     def read(self, item: StoreItem) -> Document | Failure | None:
         """Return the document of an entry; None for an entry that the router does not use."""
--- a/winchfork/platform/forwarded_headers.py
+++ b/winchfork/platform/forwarded_headers.py
@@ -1,8 +1,8 @@
 """Selects the headers of a caller that are forwarded to a replica.
 
 :data:`winchfork.platform.names.HEADER_OWNERS` names the owner of each header of the platform. A
-header that is not in the table is forwarded only if it shares no namespace with headers that the
-router or a replica sets: a caller cannot forge an internal header that the table lacks.
+header that is not in the table is forwarded only if it shares no namespace with an ``X-`` header
+whose owner is not the caller. Otherwise a caller could forge an internal header that is not listed.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def _namespace(name: bytes) -> bytes:
-    """Return the first word of a header's name after ``X-``: ``kv`` for ``X_Kv-Fetch``."""
+    """Return the first word of a name without ``X-``: ``kv`` for ``X_Kv-Fetch`` and ``Kv-From``."""
     return _normalize(name).removeprefix(_EXTENSION_PREFIX).partition(b"-")[0]
 
 
--- a/winchfork/platform/names.py
+++ b/winchfork/platform/names.py
@@ -42,7 +42,7 @@
     CALLER = "caller"
     #: Set by the caller for the router; never forwarded to a replica.
     CALLER_TO_ROUTER = "caller_to_router"
-    #: Set by the router; a value from the caller is dropped.
+    #: Set by the router in requests to replicas; the caller's own value is not forwarded.
     ROUTER = "router"
     #: Set by a replica or the router in answers; dropped from requests.
     ANSWER = "answer"
--- a/winchfork/platform/replicas.py
+++ b/winchfork/platform/replicas.py
@@ -84,7 +84,7 @@
         allowed: Callable[[], bool],
         on_notice: OnNotice = ignore_notice,
     ) -> OrderOutcome | Failure:
-        """Order the replica to load weights; sent only if ``allowed`` holds at that moment."""
+        """Order the replica to load weights if ``allowed()`` is true just before sending."""
         body = {
             "Operation": "Version",
             "Model": order.model,
--- a/winchfork/platform/settings.py
+++ b/winchfork/platform/settings.py
@@ -23,8 +23,8 @@
         text = Path(path).read_text()
     except (OSError, UnicodeDecodeError) as error:
         return FailureKind.INVALID_SETTINGS.because(
-            f"{names.SETTINGS_VARIABLE} names {path!r}: {error}",
-            remedy="name a readable settings file",
+            f"{names.SETTINGS_VARIABLE} is {path!r}, which cannot be read: {error}",
+            remedy="set it to the path of a readable settings file",
         )
     return parse_settings(text)
 
--- a/winchfork/platform/store.py
+++ b/winchfork/platform/store.py
@@ -222,7 +222,7 @@
 
 
 def _decode_value(text: str) -> bytes:
-    """Return an entry's bytes; empty if it is not base64, so that one bad entry fails no call."""
+    """Return an entry's bytes; empty if not base64, so that a bad entry does not fail the call."""
     try:
         return base64.b64decode(text)
     except ValueError:
--- a/winchfork/platform/store_headers.py
+++ b/winchfork/platform/store_headers.py
@@ -14,7 +14,10 @@
 
 
 def read_store_answer(head: AnswerHead) -> StoreAnswer:
-    """Read an answer's head; the era is 0 if it is not a number or has conflicting values."""
+    """Read an answer's head.
+
+    The era is 0 if it is missing, is not a number or has conflicting values.
+    """
     eras: set[bytes] = set()
     unknown: list[str] = []
     for name, value in head.headers:
