--- a/winchfork/backends/engine_port.py
+++ b/winchfork/backends/engine_port.py
@@ -40,10 +40,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class StreamStart:
-    """First event of a stream: the engine's identity and how many prompt tokens were cached.
-
-    Replaces the router's estimate of the engine's cache.
-    """
+    """First event of a stream: the engine's identity and how many prompt tokens were cached."""
 
     identity: ReplicaIdentity
     cached_tokens: int
--- a/winchfork/stores/async_key_value.py
+++ b/winchfork/stores/async_key_value.py
@@ -58,6 +58,7 @@
     """The state of the store from the head of an answer.
 
     ``era`` rises by one each time the store is restored from a backup; 0 if the answer has none.
+    ``unknown_headers`` are the names of the store's headers that this version does not support.
     """
 
     status: int
@@ -87,7 +88,7 @@
         ...
 
     async def watch(self, prefix: str, after_revision: int, wait_s: float) -> WatchBatch | Failure:
-        """Wait for changes; return an empty batch after ``wait_s``.
+        """Wait for changes after a revision; return an empty batch after ``wait_s``.
 
         ``HISTORY_LOST`` if the changes are no longer stored: list again.
         """
--- a/winchfork/stores/etcd_json.py
+++ b/winchfork/stores/etcd_json.py
@@ -102,7 +102,10 @@
         on_entry: Callable[[Entry], None],
         should_stop: Callable[[], bool],
     ) -> Failure | None:
-        """Pass changes since a revision to ``on_entry`` until stopped or disconnected."""
+        """Pass writes from ``from_revision`` on to ``on_entry`` until stopped or disconnected.
+
+        ``from_revision`` is included; removals are not passed.
+        """
         create = {
             "create_request": {
                 "key": _encode(prefix),
--- a/winchfork/stores/machine_list.py
+++ b/winchfork/stores/machine_list.py
@@ -66,7 +66,7 @@
             return None
         if answer.status != 200:
             return FailureKind.STORE_UNAVAILABLE.because(
-                f"the machine list answered {answer.status}"
+                f"the machine list service answered {answer.status}"
             )
         return _parse(answer.body)
 
