--- a/tests/test_platform_whole.py
+++ b/tests/test_platform_whole.py
@@ -69,11 +69,11 @@
         self.deployment.allow_retries()
         for replica in self.deployment.model_replicas:
             replica.truncate_at_event = 5
-        answer = await _ask(self.deployment.settings[0], _request("torn", tokens_out=9))
+        answer = await _ask(self.deployment.settings[0], _request("truncated", tokens_out=9))
         # Both replicas truncate the stream, so the caller's answer must be truncated too.
         self.assertFalse(answer.whole)
         self.assertEqual(_event_ids(answer), [1, 2, 3, 4])
-        self.assertEqual(len(self._replicas_that_ran("torn")), 2)
+        self.assertEqual(len(self._replicas_that_ran("truncated")), 2)
         for number in range(3):
             first = await self._truncate_the_next_stream(number)
             name = f"whole-{number}"
@@ -87,10 +87,10 @@
     async def test_a_stream_truncated_while_no_retry_is_allowed_stays_truncated(self) -> None:
         for replica in self.deployment.model_replicas:
             replica.truncate_at_event = 5
-        answer = await _ask(self.deployment.settings[0], _request("torn", tokens_out=9))
+        answer = await _ask(self.deployment.settings[0], _request("truncated", tokens_out=9))
         self.assertFalse(answer.whole)
         self.assertEqual(_event_ids(answer), [1, 2, 3, 4])
-        self.assertEqual(len(self._replicas_that_ran("torn")), 1)
+        self.assertEqual(len(self._replicas_that_ran("truncated")), 1)
 
     async def _truncate_the_next_stream(self, number: int) -> ReplicaServer:
         """Find the replica that streams are sent to and let it truncate the next one."""
@@ -171,7 +171,7 @@
             try:
                 await _ask(settings, _request(f"roll-{caller}-{number}", tokens_out))
             except (OSError, asyncio.IncompleteReadError):
-                # The crashed router.
+                # The caller's router has crashed.
                 await asyncio.sleep(0.05)
             await asyncio.sleep(0.02)
 
--- a/winchfork/boot_clock.py
+++ b/winchfork/boot_clock.py
@@ -1,7 +1,7 @@
 """A monotonic clock in seconds that includes the time while the machine is suspended.
 
-``CLOCK_MONOTONIC`` stops during a suspension, so that leases and reports from peers would appear
-younger than they are afterwards.
+``CLOCK_MONOTONIC`` stops during a suspension. By that clock, leases and reports from peers would
+appear younger afterwards than they are.
 """
 
 from __future__ import annotations
--- a/winchfork/control/rpc_server.py
+++ b/winchfork/control/rpc_server.py
@@ -40,7 +40,7 @@
 def _abort(context: grpc.ServicerContext, failure: Failure) -> NoReturn:
     code = _CODE_OF_KIND.get(failure.kind, grpc.StatusCode.UNAVAILABLE)
     context.abort(code, str(failure))
-    raise AssertionError("abort raises")
+    raise AssertionError("context.abort did not raise")
 
 
 class _TokenCheck(grpc.ServerInterceptor):
--- a/winchfork/daemon.py
+++ b/winchfork/daemon.py
@@ -42,7 +42,7 @@
 
 
 class Daemon:
-    """A running daemon. Build it with :func:`build_daemon`, then call :meth:`start`."""
+    """One daemon. Build it with :func:`build_daemon`; :meth:`start` and :meth:`stop` run it."""
 
     def __init__(self, settings: Settings, cluster_key: bytes) -> None:
         self.settings = settings
@@ -83,7 +83,9 @@
         )
         service = OperatorService(self.node, ConfigurationWriter(self.node, store), self._rollouts)
         self._rpc = RpcServer(settings, service)
-        self._background_tasks = ThreadPoolExecutor(_BACKGROUND_THREADS, thread_name_prefix="duty")
+        self._background_tasks = ThreadPoolExecutor(
+            _BACKGROUND_THREADS, thread_name_prefix="background"
+        )
 
     @property
     def http_address(self) -> str:
--- a/winchfork/errors.py
+++ b/winchfork/errors.py
@@ -1,7 +1,7 @@
 """Typed failures with a kind, a reason, a remedy and whether the request ran.
 
-Functions that may fail return ``T | Failure``; callers check with ``isinstance``. Exceptions are
-for programming errors, and come from libraries.
+Functions that may fail return ``T | Failure``; callers check with ``isinstance``. Exceptions
+come only from programming errors and from libraries.
 """
 
 from __future__ import annotations
--- a/winchfork/logs.py
+++ b/winchfork/logs.py
@@ -19,7 +19,10 @@
 
 
 def escape_value(value: object) -> str:
-    """Render one value: plain tokens unchanged, everything else as an ASCII JSON string."""
+    """Render one value: plain tokens unchanged, everything else as an ASCII JSON string.
+
+    Text longer than ``MAX_VALUE_CHARS`` is truncated.
+    """
     if isinstance(value, float):
         value = f"{value:.6g}"
     text = str(value)
