--- a/winchfork/backends/replica_control.py
+++ b/winchfork/backends/replica_control.py
@@ -15,8 +15,8 @@
 class ReplicaReport(msgspec.Struct, frozen=True):
     """A replica's own state; it may be some hundred milliseconds old.
 
-    ``started_at_ms`` is the replica's start time in milliseconds since 1970 by its own clock; 0 if it
-    does not report one.
+    ``started_at_ms`` is the replica's start time in milliseconds since 1970 by its own clock; 0 if
+    it does not report one.
     """
 
     sequence: int
