--- a/tests/fuzz_machines.py
+++ b/tests/fuzz_machines.py
@@ -559,10 +559,10 @@
             COUNTS[f"document part {fate}"] += 1
         if fate == "drop":
             return
-        held = self.sets[receiver]
-        result = held.add_part(DocumentName.CONFIGURATION, revision, offset, total, content)
+        documents = self.sets[receiver]
+        result = documents.add_part(DocumentName.CONFIGURATION, revision, offset, total, content)
         if isinstance(result, Document):
-            held.install(DocumentName.CONFIGURATION, result)
+            documents.install(DocumentName.CONFIGURATION, result)
 
     @rule(at=st.integers(0, 2))
     def restart(self, at: int) -> None:
@@ -573,8 +573,8 @@
 
     @invariant()
     def revisions_never_go_down_and_texts_are_whole(self) -> None:
-        for number, held in enumerate(self.sets):
-            document = held.get(DocumentName.CONFIGURATION)
+        for number, documents in enumerate(self.sets):
+            document = documents.get(DocumentName.CONFIGURATION)
             assert document.revision >= self.seen[number]
             self.seen[number] = document.revision
             assert set(document.text) <= {document.revision % 251}
--- a/winchfork/cluster/claim_client.py
+++ b/winchfork/cluster/claim_client.py
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RecordedOutcome:
-    """The encoded answer that an earlier attempt of the key received."""
+    """The encoded answer or refusal that the voters recorded for an earlier attempt of the key."""
 
     outcome: bytes
 
@@ -109,7 +109,7 @@
         return RecordedOutcome(recorded) if recorded is not None else failure
 
     def record_outcome(self, claim: Claim, outcome: bytes) -> None:
-        """Send the answer of a dispatched or abandoned attempt to the voters."""
+        """Send the answer of a dispatched attempt, or an abandoned one's refusal, to the voters."""
         record = OutcomeRecord(
             claim.request.panel_id, claim.request.key, claim.request.attempt, outcome
         )
--- a/winchfork/cluster/event_reader.py
+++ b/winchfork/cluster/event_reader.py
@@ -152,7 +152,10 @@
             self._node.transport.send(member.peer_address, update)
 
     def _resync(self, replica: Replica) -> None:
-        """Replace a replica's assumed cache contents by a snapshot, after a gap or a restart."""
+        """Replace a replica's assumed cache contents by a snapshot.
+
+        Needed at the first read of a replica, after its restart, and after a gap in its events.
+        """
         snapshot = self._engine.snapshot(replica.address)
         if isinstance(snapshot, Failure):
             return
@@ -197,25 +200,25 @@
                 owners[family] = rendezvous_owner(family, members)
             owner_id = owners[family]
             if owner_id is not None:
-                held, removed = keys.setdefault(owner_id, ([], []))
-                (held if stored else removed).append(key)
+                cached, removed = keys.setdefault(owner_id, ([], []))
+                (cached if stored else removed).append(key)
         return {
-            owner_id: _split_into_updates(replica.replica_id, position.incarnation, held, removed)
-            for owner_id, (held, removed) in keys.items()
+            owner_id: _split_into_updates(replica.replica_id, position.incarnation, cached, removed)
+            for owner_id, (cached, removed) in keys.items()
         }
 
 
 def _split_into_updates(
-    replica_id: str, incarnation: int, held: list[int], removed: list[int]
+    replica_id: str, incarnation: int, cached: list[int], removed: list[int]
 ) -> list[CacheUpdate]:
     return [
         CacheUpdate(
             replica_id,
             incarnation,
-            tuple(held[start : start + MAX_KEYS_PER_UPDATE]),
+            tuple(cached[start : start + MAX_KEYS_PER_UPDATE]),
             tuple(removed[start : start + MAX_KEYS_PER_UPDATE]),
         )
-        for start in range(0, max(len(held), len(removed)), MAX_KEYS_PER_UPDATE)
+        for start in range(0, max(len(cached), len(removed)), MAX_KEYS_PER_UPDATE)
     ]
 
 
--- a/winchfork/cluster/messages.py
+++ b/winchfork/cluster/messages.py
@@ -17,7 +17,7 @@
 
 
 class LookupRequest(PeerMessage, frozen=True):
-    """Asks a family's owner which replicas hold a prefix of these blocks.
+    """Asks a family's owner which replicas have cached a prefix of these blocks.
 
     ``block_keys`` start with the family's own key.
     """
@@ -27,7 +27,7 @@
 
 
 class LookupReply(PeerMessage, frozen=True):
-    """Maps replica ids to the number of leading blocks assumed cached, in ``matched``."""
+    """``matched`` maps replica ids to how many leading blocks of the request are assumed cached."""
 
     nonce: int
     matched: dict[str, int]
@@ -36,8 +36,9 @@
 class CacheUpdate(PeerMessage, frozen=True):
     """Changes of one replica's assumed cache contents, sent to the owner of the blocks' family.
 
-    ``held`` blocks are cached and ``removed`` blocks are not, both under ``incarnation``. With
-    ``reset``, the receiver first drops all that it assumed cached on the replica.
+    Under ``incarnation``, the ``cached`` blocks are cached and the ``removed`` ones are not. With
+    ``reset``, which goes to every daemon, the receiver first drops all that it assumed cached on
+    the replica.
     """
 
     replica_id: str
--- a/winchfork/cluster/node.py
+++ b/winchfork/cluster/node.py
@@ -207,6 +207,7 @@
                     ReplicaState.ACCEPTING if entry.available else ReplicaState.UNAVAILABLE
                 )
             if entry.available:
+                # The version is the publisher's clock in tenths of a second.
                 replica.update_load(entry.update(replica.load), entry.version / 10)
 
     def _pull_newer(self, revisions: tuple[int, ...], sender: str) -> None:
--- a/winchfork/cluster/platform_sync.py
+++ b/winchfork/cluster/platform_sync.py
@@ -132,7 +132,7 @@
             self._node.install_document(DocumentName.PANELS, document)
 
     def _certify_voters(self) -> None:
-        """Seek certification from voters and store for each panel where this daemon needs it."""
+        """Where this daemon is an uncertified voter, ask the others to vouch and read the store."""
         state = self._node.state
         with state.lock:
             uncertified = [voter for voter in state.voters.values() if not voter.may_vote]
--- a/winchfork/cluster/state.py
+++ b/winchfork/cluster/state.py
@@ -1,7 +1,8 @@
 """The shared state of one daemon, behind one lock.
 
-The objects of ``winchfork.core`` are not thread-safe: every access holds ``DaemonState.lock``, and
-nobody holds it across I/O.
+The objects of ``winchfork.core`` are not thread-safe: their methods run under ``DaemonState.lock``,
+which is never held across network I/O. Attributes that are replaced whole, such as
+``configuration.current``, are also read without it.
 """
 
 from __future__ import annotations
--- a/winchfork/cluster/waiting_work.py
+++ b/winchfork/cluster/waiting_work.py
@@ -1,9 +1,9 @@
 """Stores, runs and answers requests that may wait; they survive the crash of any daemon.
 
 A request is accepted only once it is stored. The accepting daemon owns its batch under a lease;
-when the lease expires, another daemon takes the batch over and runs the requests without an answer.
-Answers are recorded by compare-and-swap and the first one stays, so that a caller always gets the
-same answer.
+when the lease expires, another daemon takes the batch over and runs the requests that have no
+answer yet. Answers are recorded by compare-and-swap and the first one stays, so that a caller
+always gets the same answer.
 """
 
 from __future__ import annotations
@@ -39,11 +39,12 @@
 #: Waiting requests that one daemon runs at a time.
 MAX_RUNNING_REQUESTS = 8
 
+#: Runs a stored request, given its whole prompt and its request id.
 RunRequest = Callable[[WaitingRequest, str, str], WaitingAnswer | Failure]
 
 
 class _PendingBatch:
-    """Requests for the next batch; ``stored`` resolves when that is written."""
+    """Requests for the next batch; ``stored`` resolves once the batch is written or has failed."""
 
     def __init__(self) -> None:
         self.requests: list[WaitingRequest] = []
--- a/winchfork/gateway/attempt_placement.py
+++ b/winchfork/gateway/attempt_placement.py
@@ -122,6 +122,7 @@
 
     def _query_identity(self, replica: Replica) -> bool:
         """Query a replica's identity and load; False when it fails or accepts no work."""
+        # No sequence number is this high, so the report contains no events.
         report = self._engine.report(replica.address, 1 << 60)
         if isinstance(report, Failure) or not report.accepting:
             return False
--- a/winchfork/gateway/caller.py
+++ b/winchfork/gateway/caller.py
@@ -80,7 +80,7 @@
         try:
             if not self._poll.poll(0):
                 return False
-            # The plain socket's method, since a TLS socket cannot peek; a close shows on both.
+            # Peeks at the TCP stream, since an SSLSocket cannot peek; a closed one reads as b"".
             return not socket.socket.recv(self.connection, 1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
             return False
--- a/winchfork/gateway/server.py
+++ b/winchfork/gateway/server.py
@@ -42,7 +42,7 @@
 
     protocol_version = "HTTP/1.1"
     timeout = CALLER_SOCKET_TIMEOUT_S
-    #: Buffers werkzeug's several writes a chunk, so that its flush sends them together.
+    #: Werkzeug writes each chunk in several parts; the buffer holds them until it flushes.
     wbufsize = 64 * 1024
 
     def setup(self) -> None:
