--- a/winchfork/cluster/waiting_store.py
+++ b/winchfork/cluster/waiting_store.py
@@ -16,10 +16,10 @@
 class WaitingStore:
     """Reads and writes one region's waiting requests. Thread-safe."""
 
-    def __init__(self, store: KeyValueStore, region: str, keep_trying: Callable[[], bool]) -> None:
+    def __init__(self, store: KeyValueStore, region: str, should_retry: Callable[[], bool]) -> None:
         self._store = store
         self._prefix = f"/winchfork/waiting/{region}/"
-        self._keep_trying = keep_trying
+        self._should_retry = should_retry
         self._known_heads: OrderedDict[str, None] = OrderedDict()
         self._lock = threading.Lock()
 
@@ -52,7 +52,7 @@
         text = batch.to_text()
         key = self._key("batches", batch.batch_id)
         result = compare_and_swap_until_resolved(
-            self._store, key, text, 0, lambda value: value == text, self._keep_trying
+            self._store, key, text, 0, lambda value: value == text, self._should_retry
         )
         return result if isinstance(result, Failure) else None
 
--- a/winchfork/cluster/waiting_work.py
+++ b/winchfork/cluster/waiting_work.py
@@ -58,7 +58,7 @@
     def __init__(self, node: PeerNode, store: KeyValueStore, run_request: RunRequest) -> None:
         self._node = node
         self._leases = store
-        self._store = WaitingStore(store, node.state.settings.daemon.region, self._keep_trying)
+        self._store = WaitingStore(store, node.state.settings.daemon.region, self._should_retry)
         self._run_request = run_request
         self._stopping = threading.Event()
         self._lock = threading.Lock()
@@ -169,7 +169,8 @@
         self._stopping.set()
         self._runners.shutdown(wait=False, cancel_futures=True)
 
-    def _keep_trying(self) -> bool:
+    def _should_retry(self) -> bool:
+        """Wait shortly before a retry of a write; False when stopping or past the deadline."""
         return not self._stopping.wait(0.1) and boot_seconds() < self._write_deadline_s
 
     def _commit_pending_batch(self) -> None:
--- a/winchfork/gateway/attempt_placement.py
+++ b/winchfork/gateway/attempt_placement.py
@@ -16,7 +16,7 @@
 from winchfork.errors import Failure, FailureKind
 from winchfork.gateway.requests import CallerContext, GenerationRequest
 
-#: Bounds the queries of one request to replicas marked unavailable.
+#: Bounds the queries to unavailable or avoided replicas in one placement.
 _MAX_STATE_QUERIES = 3
 
 
@@ -108,14 +108,14 @@
         return known
 
     def _query_possibly_available(self, pool: Pool, excluded: set[str]) -> list[Replica]:
-        """Query a few replicas marked unavailable before the request is refused.
+        """Query a few unavailable or avoided replicas; return the first that accepts work.
 
         The mark spreads by gossip and can be stale while replicas load new weights one by one. The
         number of queries is bounded, so that an outage of the pool is not amplified.
         """
         with self._state.lock:
-            unavailable = self._state.fleet.possibly_available(pool.name, frozenset(excluded))
-        for replica in unavailable[:_MAX_STATE_QUERIES]:
+            replicas = self._state.fleet.possibly_available(pool.name, frozenset(excluded))
+        for replica in replicas[:_MAX_STATE_QUERIES]:
             if self._query_identity(replica):
                 return [replica]
         return []
