--- a/winchfork/cluster/waiting_work.py
+++ b/winchfork/cluster/waiting_work.py
@@ -1,9 +1,9 @@
 """Stores, runs and answers requests that may wait; they survive the crash of any daemon.
 
 A request is accepted only once it is stored. The accepting daemon owns its batch under a lease;
-when the lease expires, another daemon takes the batch over and runs the requests without an answer.
-Answers are recorded by compare-and-swap and the first one stays, so that a caller always gets the
-same answer.
+when the lease expires, another daemon takes the batch over and runs the requests that have no
+answer yet. Answers are recorded by compare-and-swap and the first one stays, so that a caller
+always gets the same answer.
 """
 
 from __future__ import annotations
@@ -39,11 +39,12 @@
 #: Waiting requests that one daemon runs at a time.
 MAX_RUNNING_REQUESTS = 8
 
+#: Runs a stored request, given its whole prompt and its request id.
 RunRequest = Callable[[WaitingRequest, str, str], WaitingAnswer | Failure]
 
 
 class _PendingBatch:
-    """Requests for the next batch; ``stored`` resolves when that is written."""
+    """Requests for the next batch; ``stored`` resolves once the batch is written or has failed."""
 
     def __init__(self) -> None:
         self.requests: list[WaitingRequest] = []
@@ -57,7 +58,7 @@
     def __init__(self, node: PeerNode, store: KeyValueStore, run_request: RunRequest) -> None:
         self._node = node
         self._leases = store
-        self._store = WaitingStore(store, node.state.settings.daemon.region, self._keep_trying)
+        self._store = WaitingStore(store, node.state.settings.daemon.region, self._should_retry)
         self._run_request = run_request
         self._stopping = threading.Event()
         self._lock = threading.Lock()
@@ -168,7 +169,8 @@
         self._stopping.set()
         self._runners.shutdown(wait=False, cancel_futures=True)
 
-    def _keep_trying(self) -> bool:
+    def _should_retry(self) -> bool:
+        """Wait shortly before a retry of a write; False when stopping or past the deadline."""
         return not self._stopping.wait(0.1) and boot_seconds() < self._write_deadline_s
 
     def _commit_pending_batch(self) -> None:
