--- a/benchmarks/crashing_requests.py
+++ b/benchmarks/crashing_requests.py
@@ -74,9 +74,9 @@
     requests by outcome.
     """
 
-    def __init__(self, seed: int, bodies_per_minute: float, *, guarded: bool) -> None:
+    def __init__(self, seed: int, bodies_per_minute: float, *, with_tracker: bool) -> None:
         self._random = random.Random(seed)
-        self._guarded = guarded
+        self._with_tracker = with_tracker
         self._bodies_per_minute = bodies_per_minute
         self._now_s = 0.0
         self._numbers = itertools.count()
@@ -148,7 +148,7 @@
 
     def _place(self, request: Request, daemon: int, deadline_s: float) -> None:
         tracker = self.trackers[daemon]
-        if self._guarded and tracker.refusal(request.digest) is not None:
+        if self._with_tracker and tracker.refusal(request.digest) is not None:
             self._count(request, "refused")
             return
         replica = self._choose(request, tracker)
@@ -162,7 +162,7 @@
 
     def _choose(self, request: Request, tracker: CrashTracker) -> RelayReplica | None:
         candidates = [replica for replica in self._replicas if replica.accepting]
-        if self._guarded:
+        if self._with_tracker:
             if not tracker.may_run(request.digest):
                 return None
             excluded = tracker.excluded_replicas(request.digest, candidates)
@@ -175,7 +175,7 @@
     def _run(self, run: Run) -> None:
         self._running.append(run)
         run_s = FATAL_S if run.request.fatal else self._random.expovariate(1.0 / RUN_S)
-        if self._guarded:
+        if self._with_tracker:
             deadline_s = self._now_s + DEADLINE_S
             self.trackers[run.daemon].begin_run(run.request.digest, run.replica, deadline_s)
         end = self._crash_replica if run.request.fatal else self._complete
@@ -231,10 +231,10 @@
 
 
 def simulate(
-    seed: int, bodies_per_minute: float, *, guarded: bool, seconds: float = 120.0
+    seed: int, bodies_per_minute: float, *, with_tracker: bool, seconds: float = 120.0
 ) -> Fleet:
-    """Return a fleet after ``seconds`` of requests; ``guarded`` turns the crash tracker on."""
-    fleet = Fleet(seed, bodies_per_minute, guarded=guarded)
+    """Return a fleet after ``seconds`` of requests; ``with_tracker`` turns the crash tracker on."""
+    fleet = Fleet(seed, bodies_per_minute, with_tracker=with_tracker)
     fleet.simulate(seconds)
     return fleet
 
@@ -247,7 +247,7 @@
     print("bodies/min guard  max crashes by one  innocent: lost    refused  held")
     for bodies in (1, 5, 50):
         for guarded in (False, True):
-            fleets = [simulate(seed, bodies, guarded=guarded) for seed in range(options.seeds)]
+            fleets = [simulate(seed, bodies, with_tracker=guarded) for seed in range(options.seeds)]
             crashes = max((max(fleet.crashes.values(), default=0) for fleet in fleets), default=0)
             total = sum((fleet.innocent for fleet in fleets), Counter[str]())
             shares = [total[name] / total["sent"] for name in ("lost", "refused", "held")]
--- a/benchmarks/store_copies.py
+++ b/benchmarks/store_copies.py
@@ -73,7 +73,7 @@
 }
 
 
-class CopyScenarioRun:
+class RestoreScenarioRun:
     """One run of a scenario with one seed."""
 
     def __init__(self, scenario: Scenario, seed: int, routers: int) -> None:
@@ -202,7 +202,7 @@
     configure_logs("error")
     for name in arguments.play or SCENARIOS:
         line = asyncio.run(
-            CopyScenarioRun(SCENARIOS[name], arguments.seed, arguments.routers).run()
+            RestoreScenarioRun(SCENARIOS[name], arguments.seed, arguments.routers).run()
         )
         print(f"{name} routers={arguments.routers} seed={arguments.seed}: {line}", flush=True)
 
--- a/tests/test_crash_history.py
+++ b/tests/test_crash_history.py
@@ -134,12 +134,12 @@
     def test_other_requests_are_not_refused_and_few_are_lost(self) -> None:
         """Five crashing bodies a minute cost fewer than one in 500 of the other requests."""
         for seed in (1, 2):
-            fleet = simulate(seed, bodies_per_minute=5, guarded=True, seconds=60.0)
+            fleet = simulate(seed, bodies_per_minute=5, with_tracker=True, seconds=60.0)
             self.assertLessEqual(max(fleet.crashes.values()), CRASHES_TO_REFUSE)
             self.assertEqual(fleet.innocent["refused"], 0)
             self.assertLess(fleet.innocent["lost"], fleet.innocent["sent"] / 500)
 
     def test_constant_crashes_get_no_other_request_refused(self) -> None:
-        fleet = simulate(3, bodies_per_minute=50, guarded=True, seconds=30.0)
+        fleet = simulate(3, bodies_per_minute=50, with_tracker=True, seconds=30.0)
         self.assertLessEqual(max(fleet.crashes.values()), CRASHES_TO_REFUSE)
         self.assertEqual(fleet.innocent["refused"], 0)
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -51,10 +51,10 @@
         async def scenario(followed: Followed) -> None:
             for value in UNREADABLE:
                 followed.put_replica("i-1")
-                await followed.settle()
+                await followed.wait_until_synced()
                 self.assertEqual(followed.known(), ["i-1", "i-2"])
                 followed.store.put("servers/i-1", value)
-                await followed.settle()
+                await followed.wait_until_synced()
                 self.assertEqual(followed.known(), ["i-2"])
 
         follow(scenario)
@@ -63,7 +63,7 @@
         async def scenario(followed: Followed) -> None:
             followed.store.put(LEADER_KEY, b"\xff\xfe")
             followed.put_replica("i-3")
-            await followed.settle()
+            await followed.wait_until_synced()
             self.assertIn("i-3", followed.known())
             self.assertFalse(followed.task.done())
 
@@ -76,7 +76,7 @@
             self.addCleanup(configure_logs, "error")
             for _ in range(500):
                 followed.store.put("servers/i-1", b"\xff")
-            await followed.settle()
+            await followed.wait_until_synced()
             refused = [line for line in lines if "event=document_refused" in line]
             self.assertEqual(followed.state.metrics.documents_refused.value, 500)
             self.assertIn("key=servers/i-1", refused[0])
--- a/tests/test_store_sync.py
+++ b/tests/test_store_sync.py
@@ -62,7 +62,7 @@
         while self.state.clock() - up_s < 60.0 and not self.state.missing_until_s:
             await asyncio.sleep(0.01)
 
-    async def settle(self) -> None:
+    async def wait_until_synced(self) -> None:
         """Wait until all writes are known."""
         while self.state.store_position < self.store.at:
             await asyncio.sleep(0.01)
--- a/winchfork/router/evidence_exchange.py
+++ b/winchfork/router/evidence_exchange.py
@@ -37,7 +37,7 @@
 #: Seconds between two evaluations.
 MIN_EVALUATION_INTERVAL_S = 0.05
 #: Share of the new version above which the old one has too few answers to compare latencies with.
-MAX_TIME_COMPARISON_SHARE = 0.6
+MAX_LATENCY_COMPARISON_SHARE = 0.6
 
 _Entries = tuple[EvidenceEntry, ...]
 
@@ -228,7 +228,7 @@
             if now_s - received.stop_sent_at_s >= RESEND_INTERVAL_S:
                 self._broadcast_stop(record, received, cause, now_s)
             return
-        compare_latency = record.share <= MAX_TIME_COMPARISON_SHARE
+        compare_latency = record.share <= MAX_LATENCY_COMPARISON_SHARE
         evidence = self.evidence(record.service)
         received.evaluated_at_s = now_s
         alarm = received.test.evaluate(evidence, compare_latency=compare_latency)
