--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks that print the figures quoted in docs/."""
+"""Benchmarks that print the figures in docs/."""
--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -1,4 +1,4 @@
-"""Measures what one log line of a request costs, with the router's own output."""
+"""Measures the processor time of one log line of a request, written by the router's log output."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 def main() -> int:
-    """Print microseconds a line."""
+    """Print the microseconds per line and the number of dropped lines."""
     sink = os.open(os.devnull, os.O_WRONLY)
     output = LogOutput(sink)
     configure_logs("info", output.write)
-    begun_s = time.process_time()
+    started_s = time.process_time()
     for number in range(LINES):
         log_event(
             "request_sent",
@@ -33,7 +33,7 @@
         )
         if number % 100 == 0:
             output.flush()
-    spent_s = time.process_time() - begun_s
+    spent_s = time.process_time() - started_s
     print(f"{spent_s / LINES * 1e6:.1f} us a line, {output.dropped} dropped")
     return 0
 
